--- a/job/keys_test.go
+++ b/job/keys_test.go
@@ -38,9 +38,9 @@
 
 func newKeyedNode(t *testing.T) *Node {
 	n := newTestNode(t, newStoreFixture(t))
-	n.authorizer = authorizer{needed: true, keysWithin: 5 * time.Second, newWithin: 3 * time.Second}
+	n.authorizer = authorizer{required: true, keysWithin: 5 * time.Second, newKeysWithin: 3 * time.Second}
 	n.routes.Store(newRoutes(keyedConfig(1)))
-	n.currentAt.Set(time.Now())
+	n.configCurrentAt.Set(time.Now())
 	return n
 }
 
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	_, err := n.KV.Get(t.Context(), newKey(idA))
+	_, err := n.KV.Get(t.Context(), recordKey(idA))
 	require.ErrorIs(t, err, platform.ErrNotFound, "nothing was written")
 	require.Equal(t, http.StatusOK, callWith(n, http.MethodPost, "/q/"+idA, keyB).Code)
 	require.Equal(t, "tint", recordOf(t, n, idA).Team)
@@ -90,7 +90,7 @@
 }
 
 func recordOf(t *testing.T, n *Node, id ID) Record {
-	e, err := n.KV.Get(t.Context(), newKey(id))
+	e, err := n.KV.Get(t.Context(), recordKey(id))
 	require.NoError(t, err)
 	_, r, err := decodeRecord(e)
 	require.NoError(t, err)
@@ -103,7 +103,7 @@
 	n := newKeyedNode(t)
 	n.routes.Store(newRoutes(testConfig()))
 	require.Equal(t, http.StatusUnauthorized, callWith(n, http.MethodGet, "/q/", keyA).Code)
-	n.authorizer = authorizer{newWithin: 2 * time.Second}
+	n.authorizer = authorizer{newKeysWithin: 2 * time.Second}
 	require.NotEqual(t, http.StatusUnauthorized, callWith(n, http.MethodGet, "/q/", "").Code)
 	d := testConfig()
 	d.Teams = []platform.Team{}
@@ -114,10 +114,10 @@
 // A host that has not heard of the configuration for a while does not know which keys have
 // been taken away or are new: it sends callers elsewhere, and does not take a key that may
 // be new for a wrong one.
-func TestHostThatHasNotHeardOfTheKeysLetsNobodyIn(t *testing.T) {
+func TestHostWithStaleKeysRefusesCallers(t *testing.T) {
 	n := newKeyedNode(t)
 	at := func(age time.Duration) (known, unknownCode int) {
-		n.currentAt.Set(time.Now().Add(-age))
+		n.configCurrentAt.Set(time.Now().Add(-age))
 		return callWith(n, http.MethodGet, "/q/"+idA, keyA).Code, callWith(n, http.MethodGet, "/q/"+idA, unknown).Code
 	}
 	known, other := at(2 * time.Second)
@@ -131,8 +131,8 @@
 	require.Equal(t, http.StatusServiceUnavailable, other)
 }
 
-// operatorSays writes a configuration with the keys of one team.
-func operatorSays(t *testing.T, s storeFixture, version int64, keys ...string) {
+// putTeamKeys writes a configuration with the keys of one team.
+func putTeamKeys(t *testing.T, s storeFixture, version int64, keys ...string) {
 	require.NoError(t, s.Put(platform.ConfigKey, fleet.Config{
 		Version: version,
 		Pools:   []string{"blue"},
@@ -141,16 +141,16 @@
 	}.Row("spare")))
 }
 
-// turnedAway is a host that the store turns away, beside an owner that it serves.
-type turnedAway struct {
+// isolatedHost is a host that the store turns away, beside an owner that it serves.
+type isolatedHost struct {
 	*Node
 	store storeFixture
 	owner *Node
 }
 
-func newTurnedAway(t *testing.T) turnedAway {
+func newIsolatedHost(t *testing.T) isolatedHost {
 	s := newStoreFixture(t)
-	operatorSays(t, s, 3, keyA)
+	putTeamKeys(t, s, 3, keyA)
 	owner := newTestNode(t, s)
 	go owner.followOperator(t.Context())
 	h := httptest.NewServer(owner.Peers())
@@ -159,58 +159,58 @@
 	t.Cleanup(refuses.Close)
 	kv := platform.NewKV(netip.MustParseAddrPort(strings.TrimPrefix(refuses.URL, "http://")), &platform.Calls{})
 	n := newTestNode(t, storeFixture{kv: kv})
-	n.authorizer = authorizer{needed: true, keysWithin: 5 * time.Second, newWithin: 3 * time.Second}
+	n.authorizer = authorizer{required: true, keysWithin: 5 * time.Second, newKeysWithin: 3 * time.Second}
 	n.settings.Name = "turned-away"
-	n.election.set(Owner{Name: "owner", Peer: netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://")), Fence: 7})
+	n.election.setOwner(Owner{Name: "owner", Peer: netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://")), Fence: 7})
 	go n.followOperator(t.Context())
-	go n.askForConfig(t.Context())
-	return turnedAway{Node: n, store: s, owner: owner}
+	go n.followOwnerConfig(t.Context())
+	return isolatedHost{Node: n, store: s, owner: owner}
 }
 
 // judged returns what the host says of a key now.
-func (n turnedAway) judged(key string) access {
+func (n isolatedHost) judged(key string) access {
 	r := n.routes.Load()
 	if r == nil {
 		return notCurrent
 	}
 	h := http.Header{"Authorization": {"Bearer " + key}}
-	_, e := n.authorizer.judge(r, r.config.Queues[0], h, n.currentAt.Get(), time.Now())
+	_, e := n.authorizer.authorize(r, r.config.Queues[0], h, n.configCurrentAt.Get(), time.Now())
 	return e
 }
 
 // The store turned single hosts away for nine seconds while it took keys away: these hosts
 // went on with the keys that they knew, and refused new ones. They hear of them from the
 // owner now, as long as it hears of them itself.
-func TestHostThatTheStoreTurnsAwayHearsOfKeysFromTheOwner(t *testing.T) {
-	n := newTurnedAway(t)
+func TestHostWithoutStoreGetsKeysFromTheOwner(t *testing.T) {
+	n := newIsolatedHost(t)
 	const within = 3 * time.Second
 	require.Eventually(t, func() bool { return n.judged(keyA) == granted && n.judged(keyB) == unknownKey }, within, 20*time.Millisecond)
-	operatorSays(t, n.store, 9, keyB)
+	putTeamKeys(t, n.store, 9, keyB)
 	require.Eventually(t, func() bool { return n.judged(keyA) == unknownKey && n.judged(keyB) == granted }, within, 20*time.Millisecond)
-	require.Less(t, time.Since(n.currentAt.Get()), within, "it knows that it is current")
+	require.Less(t, time.Since(n.configCurrentAt.Get()), within, "it knows that it is current")
 }
 
 // What another host tells is as old as its own last word from the store, and one that
 // never had any tells nothing.
-func TestConfigurationOfAnotherHostIsAsOldAsItSays(t *testing.T) {
+func TestConfigurationOfAnotherHostKeepsItsAge(t *testing.T) {
 	n := newKeyedNode(t)
 	n.routes.Load().written = []byte("text")
-	n.currentAt.Set(time.Now().Add(-4 * time.Second))
+	n.configCurrentAt.Set(time.Now().Add(-4 * time.Second))
 	h := httptest.NewServer(n.Peers())
 	t.Cleanup(h.Close)
 	o := Owner{Name: "another", Peer: netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))}
 	p := newPeers()
 	c, err := p.config(t.Context(), o, 0, time.Now)
 	require.NoError(t, err)
-	require.Equal(t, "text", string(c.written))
+	require.Equal(t, "text", string(c.raw))
 	require.WithinDuration(t, time.Now().Add(-4*time.Second), c.currentAt, time.Second)
-	require.False(t, c.currentAt.After(n.currentAt.Get()), "never younger than it is")
+	require.False(t, c.currentAt.After(n.configCurrentAt.Get()), "never younger than it is")
 	c, err = p.config(t.Context(), o, 1, time.Now)
 	require.NoError(t, err)
-	require.Nil(t, c.written, "the asker has it")
-	n.currentAt = common.Instant{}
+	require.Nil(t, c.raw, "the asker has it")
+	n.configCurrentAt = common.Instant{}
 	_, err = p.config(t.Context(), o, 0, time.Now)
-	require.ErrorIs(t, err, errNeverCurrent)
+	require.ErrorIs(t, err, errNoConfig)
 }
 
 // No key shows in a log line, also where its caller is turned away.
@@ -233,12 +233,12 @@
 				d.Teams = append(d.Teams, platform.Team{Name: fmt.Sprint("team-", i/2), Keys: []platform.KeyHash{platform.HashKey(fmt.Sprint("key-", i))}})
 			}
 			r := newRoutes(d)
-			k := authorizer{needed: true, keysWithin: 5 * time.Second, newWithin: 3 * time.Second}
+			k := authorizer{required: true, keysWithin: 5 * time.Second, newKeysWithin: 3 * time.Second}
 			h := http.Header{"Authorization": {"Bearer key-7"}}
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, e := k.judge(r, d.Queues[0], h, now, now); e != granted {
+				if _, e := k.authorize(r, d.Queues[0], h, now, now); e != granted {
 					b.Fatal("a key in force is not let in")
 				}
 			}
--- a/job/lapse.go
+++ b/job/lapse.go
@@ -25,94 +25,94 @@
 // apply adds a worker, or takes in what has changed of it.
 func (e WorkerListed) apply(c *Core) {
 	v := e.Worker
-	c.noteDoubt(v.ID, v.StartDoubt)
-	v.ID = c.keptAs(v.ID)
-	if c.replacedBefore(v) {
+	c.noteInvalidStart(v.ID, v.InvalidStart)
+	v.ID = c.resolveID(v.ID)
+	if c.wasReplaced(v) {
 		return
 	}
 	w := c.workers[v.ID]
-	if !c.named(v.Service) && (w == nil || w.Service != v.Service) {
-		c.leaveOut(v)
+	if !c.hasService(v.Service) && (w == nil || w.Service != v.Service) {
+		c.markUnconfigured(v)
 		return
 	}
-	delete(c.leftOut, v.ID.Name())
+	delete(c.unconfigured, v.ID.Name())
 	if w == nil {
-		c.meet(v)
+		c.addListed(v)
 		return
 	}
-	w.recorded = true
+	w.hadRecord = true
 	moved, before := w.Service != v.Service, w.Service
 	if w.Draining != v.Draining {
-		c.do(Note{What: "worker draining", Worker: v.ID, Inputs: []any{"draining", v.Draining}})
+		c.emit(LogLine{What: "worker draining", Worker: v.ID, Fields: []any{"draining", v.Draining}})
 	}
 	relisted := !w.listed
 	if relisted {
-		c.do(Note{What: "worker listed again", Worker: v.ID})
+		c.emit(LogLine{What: "worker listed again", Worker: v.ID})
 	}
-	w.listed, w.missed = true, 0
+	w.listed, w.missedLists = true, 0
 	w.Worker = v
 	w.rack = v.Rack()
 	if moved || relisted {
-		c.repool[before], c.repool[w.Service] = true, true
+		c.stalePools[before], c.stalePools[w.Service] = true, true
 	}
 	c.replan(w.Service)
 }
 
-// named reports whether the configuration has the service.
-func (c *Core) named(service string) bool {
+// hasService reports whether the configuration has the service.
+func (c *Core) hasService(service string) bool {
 	return slices.ContainsFunc(c.config.Services, func(s platform.Service) bool { return s.Name == service })
 }
 
-// leaveOut leaves out a worker whose service the configuration does not name: its entry
+// markUnconfigured leaves out a worker whose service the configuration does not name: its entry
 // may come from another writer, and nothing would run there.
-func (c *Core) leaveOut(v platform.Worker) {
+func (c *Core) markUnconfigured(v platform.Worker) {
 	WorkerUnlisted{Name: v.ID.Name()}.apply(c)
-	c.leftOut[v.ID.Name()] = v
-	c.do(Note{What: "worker left out", Worker: v.ID, Why: "no configuration names its service", Inputs: []any{"service", v.Service, "host", v.Host}})
+	c.unconfigured[v.ID.Name()] = v
+	c.emit(LogLine{What: "worker left out", Worker: v.ID, Why: "no configuration names its service", Fields: []any{"service", v.Service, "host", v.Host}})
 }
 
-// meetLeftOut takes in the workers whose services the configuration names by now.
-func (c *Core) meetLeftOut() {
-	for _, v := range c.leftOut {
-		if c.named(v.Service) {
+// addConfigured takes in the workers whose services the configuration names by now.
+func (c *Core) addConfigured() {
+	for _, v := range c.unconfigured {
+		if c.hasService(v.Service) {
 			WorkerListed{Worker: v}.apply(c)
 		}
 	}
 }
 
-// meet adds a worker that was not listed before.
-func (c *Core) meet(v platform.Worker) {
+// addListed adds a worker that was not listed before.
+func (c *Core) addListed(v platform.Worker) {
 	w := newWorker(v, c.now)
-	w.listed, w.recorded = true, true
+	w.listed, w.hadRecord = true, true
 	before := c.current[v.ID.Name()]
 	c.addWorker(w)
-	c.do(Note{What: "worker listed", Worker: v.ID, Inputs: []any{"service", v.Service, "host", v.Host, "draining", v.Draining}})
-	if before != nil && before.recorded {
-		c.startedAgain(before, w, "its record tells of a later start")
+	c.emit(LogLine{What: "worker listed", Worker: v.ID, Fields: []any{"service", v.Service, "host", v.Host, "draining", v.Draining}})
+	if before != nil && before.hadRecord {
+		c.replaceWorker(before, w, "its record tells of a later start")
 	}
 	if !c.dormant(w) {
-		c.keepRoster(w)
+		c.markRosterDirty(w)
 	}
-	c.tend(w)
+	c.reconcileWorker(w)
 }
 
-// supersede forgets the other lives of the worker's machine. It runs one life at
+// removeOthersOnHost forgets the other lives of the worker's machine. It runs one life at
 // a time, and this one has just answered; records come and go late, and tell
 // nothing of which life is the later one.
-func (c *Core) supersede(w *worker) {
+func (c *Core) removeOthersOnHost(w *worker) {
 	if o := c.current[w.ID.Name()]; o != w && o != nil {
-		c.startedAgain(o, w, "it answers")
+		c.replaceWorker(o, w, "it answers")
 	}
-	for _, o := range slices.Clone(c.lives[w.Host]) {
+	for _, o := range slices.Clone(c.workersByHost[w.Host]) {
 		if o != w && w.Host != "" {
-			c.lose(o, "its machine runs another life")
+			c.removeWorker(o, "its machine runs another life")
 		}
 	}
-	c.byHost[w.Host] = w
+	c.listedByHost[w.Host] = w
 }
 
 // apply compares the whole list of workers with what is known.
-func (e WorkersListed) apply(c *Core) {
+func (e WorkerList) apply(c *Core) {
 	there := make(map[platform.WorkerName]bool, len(e))
 	for _, w := range e {
 		there[w.ID.Name()] = true
@@ -123,12 +123,12 @@
 			WorkerUnlisted{Name: id.Name()}.apply(c)
 		}
 	}
-	maps.DeleteFunc(c.leftOut, func(n platform.WorkerName, _ platform.Worker) bool { return !there[n] })
+	maps.DeleteFunc(c.unconfigured, func(n platform.WorkerName, _ platform.Worker) bool { return !there[n] })
 }
 
 // apply notes that a worker's record has gone. It may live on unheard of.
 func (e WorkerUnlisted) apply(c *Core) {
-	delete(c.leftOut, e.Name)
+	delete(c.unconfigured, e.Name)
 	if o := c.current[e.Name]; o != nil {
 		for _, w := range c.incarnationsOn(o.Host, e.Name) {
 			c.unlist(w)
@@ -143,16 +143,16 @@
 	}
 	w.listed = false
 	w.unlistedAt = c.now
-	c.do(Note{What: "worker unlisted", Worker: w.ID, Inputs: []any{"runs", len(w.runs)}})
-	c.repool[w.Service] = true
-	c.tend(w)
+	c.emit(LogLine{What: "worker unlisted", Worker: w.ID, Fields: []any{"runs", len(w.runs)}})
+	c.stalePools[w.Service] = true
+	c.reconcileWorker(w)
 	c.replan(w.Service)
 }
 
-// leaves reports whether the worker is about to end: it says so, or its record has
+// shuttingDown reports whether the worker is about to end: it says so, or its record has
 // gone and has not come back although the store has answered all the while. Some
 // workers never say so, and serve on for as long.
-func (c *Core) leaves(w *worker) bool {
+func (c *Core) shuttingDown(w *worker) bool {
 	if w.listed {
 		return w.Draining
 	}
@@ -172,87 +172,87 @@
 	if c.current[w.ID.Name()] == nil {
 		c.current[w.ID.Name()] = w
 	}
-	c.lives[w.Host] = append(c.lives[w.Host], w)
-	c.repool[w.Service] = true
+	c.workersByHost[w.Host] = append(c.workersByHost[w.Host], w)
+	c.stalePools[w.Service] = true
 }
 
-// sortPools sorts the listed workers by service, if they have changed.
-func (c *Core) sortPools() {
-	if len(c.repool) == 0 {
+// rebuildPools sorts the listed workers by service, if they have changed.
+func (c *Core) rebuildPools() {
+	if len(c.stalePools) == 0 {
 		return
 	}
-	clear(c.byHost)
-	for s := range c.repool {
+	clear(c.listedByHost)
+	for s := range c.stalePools {
 		delete(c.pools, s)
 	}
 	for _, w := range c.workers {
 		if !w.listed {
 			continue
 		}
-		if o := c.byHost[w.Host]; o == nil || !o.met {
-			c.byHost[w.Host] = w
+		if o := c.listedByHost[w.Host]; o == nil || !o.contacted {
+			c.listedByHost[w.Host] = w
 		}
-		if c.repool[w.Service] {
+		if c.stalePools[w.Service] {
 			c.pools[w.Service] = append(c.pools[w.Service], w)
 		}
 	}
-	for s := range c.repool {
+	for s := range c.stalePools {
 		sortWorkers(c.pools[s])
 	}
-	clear(c.repool)
+	clear(c.stalePools)
 }
 
-// tendLapse gives up what runs on a silent worker once its lease has ended.
-func (c *Core) tendLapse(w *worker) {
-	if c.giveUpRemoved(w) {
+// expireLease gives up what runs on a silent worker once its lease has ended.
+func (c *Core) expireLease(w *worker) {
+	if c.loseRemoved(w) {
 		return
 	}
-	if w.silent == 0 && !w.listed && len(w.runs)+len(w.strays) > 0 {
+	if w.missedPolls == 0 && !w.listed && len(w.runs)+len(w.orphans) > 0 {
 		return
 	}
-	if !c.lapsed(w) {
+	if !c.leaseExpired(w) {
 		return
 	}
 	for _, r := range w.runs {
-		w.givenUp[strayID{task: r.task.key().String(), number: r.number}] = true
-		c.drop(r, lossLapse, "the worker is silent and its lease has lapsed")
+		w.abandoned[rawRunID{task: r.task.key().String(), number: r.number}] = true
+		c.drop(r, lossExpired, "the worker is silent and its lease has lapsed")
 	}
-	w.dropStrays()
+	w.dropOrphans()
 	if !w.listed {
-		c.lose(w, "not listed, and its lease has lapsed")
+		c.removeWorker(w, "not listed, and its lease has lapsed")
 	}
 }
 
-// lose forgets a life of a worker that has ended.
-func (c *Core) lose(w *worker, why string) {
-	c.end(w, why, nil)
+// removeWorker forgets a life of a worker that has ended.
+func (c *Core) removeWorker(w *worker, why string) {
+	c.endWorker(w, why, nil)
 }
 
-// end forgets a life of a worker that has ended. Where the worker has started again, the
+// endWorker forgets a life of a worker that has ended. Where the worker has started again, the
 // next life is handed the runs whose starts it may still carry out.
-func (c *Core) end(w *worker, why string, next *worker) {
+func (c *Core) endWorker(w *worker, why string, next *worker) {
 	if c.workers[w.ID] != w {
 		return
 	}
-	how := w.lossWith()
-	c.do(Note{What: "worker gone", Worker: w.ID, Why: why, Inputs: []any{"runs", len(w.runs), "met", w.met, "how", string(how)}})
+	how := w.lossCause()
+	c.emit(LogLine{What: "worker gone", Worker: w.ID, Why: why, Fields: []any{"runs", len(w.runs), "met", w.contacted, "how", string(how)}})
 	suspects := w.suspects(how)
 	for _, r := range w.runs {
 		if next != nil && !r.listed {
-			r.hand(next, c.now)
+			r.reassign(next, c.now)
 			continue
 		}
 		c.drop(r, how, "its worker has ended")
 	}
-	w.dropStrays()
+	w.dropOrphans()
 	delete(c.workers, w.ID)
-	c.lives[w.Host] = slices.DeleteFunc(c.lives[w.Host], func(o *worker) bool { return o == w })
-	if len(c.lives[w.Host]) == 0 {
-		delete(c.lives, w.Host)
+	c.workersByHost[w.Host] = slices.DeleteFunc(c.workersByHost[w.Host], func(o *worker) bool { return o == w })
+	if len(c.workersByHost[w.Host]) == 0 {
+		delete(c.workersByHost, w.Host)
 	}
 	c.dropIncarnation(w)
-	c.repool[w.Service] = true
-	c.keepRoster(w)
-	c.blame(suspects)
+	c.stalePools[w.Service] = true
+	c.markRosterDirty(w)
+	c.attributeCrash(suspects)
 	c.replan(w.Service)
 }
--- a/job/lasting_log_test.go
+++ b/job/lasting_log_test.go
@@ -11,10 +11,10 @@
 )
 
 // noted returns the notes of a kind since the fixture began.
-func (f *fixture) noted(what string) []Note {
-	var l []Note
+func (f *fixture) noted(what string) []LogLine {
+	var l []LogLine
 	for _, a := range f.out {
-		if n, ok := a.(Note); ok && n.What == what {
+		if n, ok := a.(LogLine); ok && n.What == what {
 			l = append(l, n)
 		}
 	}
@@ -22,44 +22,44 @@
 }
 
 // input returns a figure of a note.
-func (n Note) input(name string) any {
-	for i := 0; i+1 < len(n.Inputs); i += 2 {
-		if n.Inputs[i] == name {
-			return n.Inputs[i+1]
+func (n LogLine) input(name string) any {
+	for i := 0; i+1 < len(n.Fields); i += 2 {
+		if n.Fields[i] == name {
+			return n.Fields[i+1]
 		}
 	}
 	return nil
 }
 
-// threeAtWork has three lasting tasks of a step, of which one may be away, at work on a
+// threeReady has three lasting tasks of a step, of which one may be away, at work on a
 // worker each.
-func threeAtWork(f *fixture) map[platform.WorkerID]StartRun {
+func threeReady(f *fixture) map[platform.WorkerID]StartRun {
 	f.join("w1", "w2", "w3")
 	s := oneTask()
-	s.Count, s.MaxPerWorker, s.Lasting, s.MayMiss = 3, 1, true, 1
+	s.Count, s.MaxPerWorker, s.Lasting, s.MaxUnavailable = 3, 1, true, 1
 	f.submit(idA, "quick", s)
 	at := map[platform.WorkerID]StartRun{}
 	for _, r := range f.starts() {
 		at[r.Worker.ID] = r
 		f.took(r)
 	}
-	f.workAll(at, stopsShow+warmUp)
+	f.passReady(at, evacuationDelay+warmUp)
 	return at
 }
 
-// workAll lets time pass in which all runs are at work.
-func (f *fixture) workAll(at map[platform.WorkerID]StartRun, d time.Duration) {
+// passReady lets time pass in which all runs are at work.
+func (f *fixture) passReady(at map[platform.WorkerID]StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(100 * time.Millisecond)
-		f.lookAll(at)
+		f.pollAll(at)
 	}
 }
 
-// lookAll answers the looks under way: the runs are at work.
-func (f *fixture) lookAll(at map[platform.WorkerID]StartRun) {
+// pollAll answers the looks under way: the runs are at work.
+func (f *fixture) pollAll(at map[platform.WorkerID]StartRun) {
 	for id, r := range at {
 		if _, ok := f.looks[id]; ok {
-			f.answer(string(id), platform.Look{Running: []platform.RunningRow{runningRow(r, 100)}})
+			f.answer(string(id), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
 	}
 }
@@ -71,9 +71,9 @@
 	f.step(WorkerListed{Worker: w})
 }
 
-func TestLogTellsWhatAStopOfALastingTaskWentBy(t *testing.T) {
+func TestLogShowsInputsOfLastingStop(t *testing.T) {
 	f := newFixture(t)
-	at := threeAtWork(f)
+	at := threeReady(f)
 	f.join("w4")
 	f.drain("w1")
 	f.pass(100 * time.Millisecond)
@@ -84,14 +84,14 @@
 	require.Equal(t, true, n[0].input("at_work"))
 	f.drain("w2")
 	f.pass(100 * time.Millisecond)
-	f.lookAll(at)
+	f.pollAll(at)
 	f.pass(100 * time.Millisecond)
 	held := f.noted("stop held back")
 	require.Len(t, held, 1, "said once")
 	require.Equal(t, []int{at["w1"].index()}, held[0].input("away_tasks"))
-	f.step(Stopped{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknown})
+	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknown})
 	require.Len(t, f.noted("stop not answered"), 1)
-	f.workAll(at, time.Second)
+	f.passReady(at, time.Second)
 	again := f.noted("stop sent again")
 	require.NotEmpty(t, again)
 	require.Equal(t, 1, again[0].input("sent"))
--- a/job/learn.go
+++ b/job/learn.go
@@ -6,24 +6,24 @@
 	"amberway/platform"
 )
 
-// learnWeight is the share of one run in the mean of its queue: about the last
+// runTimeWeight is the share of one run in the mean of its queue: about the last
 // twenty runs count.
-const learnWeight = 0.05
+const runTimeWeight = 0.05
 
-// estimate is how long the tasks of a queue have taken.
-type estimate struct {
+// runTimeEstimate is how long the tasks of a queue have taken.
+type runTimeEstimate struct {
 	mean time.Duration
 	runs int
 }
 
-// learnRun takes in the time of a run that is done. The run time includes the
+// recordRunTime takes in the time of a run that is done. The run time includes the
 // way of the order and of the end, which a job waits for as well.
-func (c *Core) learnRun(r *run) {
+func (c *Core) recordRunTime(r *run) {
 	q := r.task.of.of.job.queue.Name
-	e := c.learn[q]
+	e := c.runTimes[q]
 	if e == nil {
-		e = &estimate{}
-		c.learn[q] = e
+		e = &runTimeEstimate{}
+		c.runTimes[q] = e
 	}
 	took := c.now.Sub(r.sentAt)
 	e.runs++
@@ -31,14 +31,14 @@
 		e.mean = took
 		return
 	}
-	e.mean += time.Duration(learnWeight * float64(took-e.mean))
+	e.mean += time.Duration(runTimeWeight * float64(took-e.mean))
 }
 
-// expect returns how long a task of the step is expected to take: its estimate,
+// expectedRunTime returns how long a task of the step is expected to take: its estimate,
 // drawn towards what tasks of its queue have taken, since estimates are off by
 // up to nine tenths.
-func (c *Core) expect(j *job, s *platform.Step) time.Duration {
-	e := c.learn[j.queue.Name]
+func (c *Core) expectedRunTime(j *job, s *platform.Step) time.Duration {
+	e := c.runTimes[j.queue.Name]
 	if e == nil || e.runs < 5 {
 		return s.Estimate
 	}
@@ -50,19 +50,19 @@
 
 // Times of judging workers.
 const (
-	// blameLimit is how many first failures in a row set a worker aside.
-	blameLimit = 3
-	// setAsideFor is how long it then gets no starts.
-	setAsideFor = 3 * time.Second
-	// setAsideShare bounds the share of a pool that is set aside at once.
-	setAsideShare = 3
+	// quarantineFailures is how many first failures in a row set a worker aside.
+	quarantineFailures = 3
+	// quarantineFor is how long it then gets no starts.
+	quarantineFor = 3 * time.Second
+	// quarantineDivisor bounds the share of a pool that is set aside at once.
+	quarantineDivisor = 3
 )
 
-// judge counts an end for or against the worker. A job that has failed on
+// recordOutcome counts an end for or against the worker. A job that has failed on
 // another worker speaks against the job, not the worker.
-func (c *Core) judge(w *worker, t *task, how platform.End) {
+func (c *Core) recordOutcome(w *worker, t *task, how platform.End) {
 	if how == platform.EndDone {
-		w.blame = 0
+		w.failures = 0
 	}
 	if how != platform.EndFailed {
 		return
@@ -73,26 +73,26 @@
 		j.failedOn = map[platform.WorkerID]bool{}
 	}
 	if len(j.failedOn) == 0 || (len(j.failedOn) == 1 && j.failedOn[w.ID]) {
-		w.blame++
+		w.failures++
 	}
 	j.failedOn[w.ID] = true
-	if w.blame >= blameLimit {
-		c.setAside(w)
+	if w.failures >= quarantineFailures {
+		c.quarantine(w)
 	}
 }
 
-func (c *Core) setAside(w *worker) {
+func (c *Core) quarantine(w *worker) {
 	aside := 0
 	p := c.pools[w.Service]
 	for _, o := range p {
-		if c.now.Before(o.setAside) {
+		if c.now.Before(o.quarantinedUntil) {
 			aside++
 		}
 	}
-	if c.now.Before(w.setAside) || aside*setAsideShare >= len(p) {
+	if c.now.Before(w.quarantinedUntil) || aside*quarantineDivisor >= len(p) {
 		return
 	}
-	w.setAside = c.now.Add(setAsideFor)
-	c.do(Note{What: "worker set aside", Worker: w.ID, Why: "its runs fail", Inputs: []any{"failures", w.blame}})
-	w.blame = blameLimit - 1
+	w.quarantinedUntil = c.now.Add(quarantineFor)
+	c.emit(LogLine{What: "worker set aside", Worker: w.ID, Why: "its runs fail", Fields: []any{"failures", w.failures}})
+	w.failures = quarantineFailures - 1
 }
--- a/job/left_out_test.go
+++ b/job/left_out_test.go
@@ -12,35 +12,35 @@
 
 // A store's entry may come from another writer, and name a service that no configuration
 // does: it names no worker to use, and is not even asked.
-func TestWorkerOfAServiceThatNobodyNamesIsNotAsked(t *testing.T) {
+func TestWorkerOfAnUnconfiguredServiceIsNotPolled(t *testing.T) {
 	f := newFixture(t)
 	w := testWorker("w1")
 	w.Service = "violet"
 	f.step(WorkerListed{Worker: w})
 	f.pass(time.Second)
 	require.Empty(t, f.looks)
-	require.False(t, f.roster().names("w1"))
+	require.False(t, f.roster().has("w1"))
 
 	f.join("w2")
 	f.submit(idA, "quick", oneTask())
 	require.Len(t, f.starts(), 1, "the others hold")
 }
 
-func TestWorkerIsTakenInOnceAConfigurationNamesItsService(t *testing.T) {
+func TestWorkerIsUsedOnceItsServiceIsConfigured(t *testing.T) {
 	f := newFixture(t)
 	w := testWorker("w1")
 	w.Service = "violet"
-	f.step(WorkersListed{w})
+	f.step(WorkerList{w})
 	c := testConfig()
 	c.Version = 2
 	c.Services = append(c.Services, platform.Service{Name: "violet"})
-	f.step(ConfigTaken{Config: c})
+	f.step(ConfigChanged{Config: c})
 	require.Contains(t, f.looks, platform.WorkerID("w1"))
 }
 
 // A worker that is gone by the time is not taken in.
-func TestWorkerThatIsGoneIsNotTakenInWithItsService(t *testing.T) {
-	for name, gone := range map[string]Event{"one": WorkerUnlisted{Name: "w1"}, "all": WorkersListed{}} {
+func TestRemovedWorkerIsNotUsedOnceItsServiceIsConfigured(t *testing.T) {
+	for name, gone := range map[string]Event{"one": WorkerUnlisted{Name: "w1"}, "all": WorkerList{}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			w := testWorker("w1")
@@ -50,7 +50,7 @@
 			c := testConfig()
 			c.Version = 2
 			c.Services = append(c.Services, platform.Service{Name: "violet"})
-			f.step(ConfigTaken{Config: c})
+			f.step(ConfigChanged{Config: c})
 			require.Empty(t, f.looks)
 		})
 	}
@@ -68,29 +68,29 @@
 	c := testConfig()
 	c.Version = 2
 	c.Services = c.Services[1:]
-	f.step(ConfigTaken{Config: c})
-	f.pass(lookWait)
-	f.answer("w1", platform.Look{Running: []platform.RunningRow{runningRow(l[0], 50)}})
+	f.step(ConfigChanged{Config: c})
+	f.pass(pollWait)
+	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 50)}})
 	f.step(WorkerListed{Worker: testWorker("w1")})
 	require.Len(t, f.core.workers["w1"].runs, 1)
 }
 
 // A record that no entry host has written is no job, and what cannot be read of an owner's
 // entries does not keep the next one from taking over.
-func TestRecordOfAnotherWriterIsNoJob(t *testing.T) {
+func TestInvalidJobRecordIsRejected(t *testing.T) {
 	for name, e := range map[string]platform.Entry{
-		"no object":      {Key: newKey(idA), Value: []byte(`[1]`)},
-		"no steps":       {Key: newKey(idA), Value: []byte(`{"q":"quick","s":"blue"}`)},
-		"steps in a row": {Key: newKey(idA), Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1,"a":[1]},{"n":1,"a":[0]}]}`)},
-		"no queue":       {Key: newKey(idA), Value: []byte(`{"w":[{"n":1}]}`)},
-		"no id":          {Key: newPrefix + "x", Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1}]}`)},
+		"no object":      {Key: recordKey(idA), Value: []byte(`[1]`)},
+		"no steps":       {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue"}`)},
+		"steps in a row": {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1,"a":[1]},{"n":1,"a":[0]}]}`)},
+		"no queue":       {Key: recordKey(idA), Value: []byte(`{"w":[{"n":1}]}`)},
+		"no id":          {Key: recordPrefix + "x", Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1}]}`)},
 	} {
 		_, _, err := decodeRecord(e)
 		require.Error(t, err, name)
 	}
 }
 
-func TestProgressOfAnotherWriterIsNotTaken(t *testing.T) {
+func TestInvalidProgressIsRejected(t *testing.T) {
 	for name, v := range map[string]string{
 		"no object":      `3`,
 		"another state":  `{"s":"resting"}`,
@@ -105,15 +105,15 @@
 
 // A part of the roster that cannot be read may have named workers with runs: jobs of
 // earlier owners wait until those must have lapsed, and new ones go on at once.
-func TestRosterThatCannotBeReadHoldsBackInheritedJobsOnly(t *testing.T) {
-	r := ownStore{rosterPartKey(3): []byte(`{"x":`), rosterPartKey(4): []byte(`[{"i":"w9","s":"green","a":"10.0.0.9:80"}]`)}.roster()
-	require.True(t, r.names("w9"))
+func TestUnreadableRosterDelaysInheritedJobsOnly(t *testing.T) {
+	r := ownerStore{rosterShardKey(3): []byte(`{"x":`), rosterShardKey(4): []byte(`[{"i":"w9","s":"green","a":"10.0.0.9:80"}]`)}.roster()
+	require.True(t, r.has("w9"))
 
 	f := newFixture(t)
 	rec := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{oneTask()}}, f.now)
 	r.Workers = []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1", Address: netip.MustParseAddrPort("10.0.0.1:80")}}
-	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: []Accepted{{ID: idA, Record: rec, Created: 50}}, Roster: r})
-	f.answer("w1", platform.Look{})
+	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: []JobAccepted{{ID: idA, Record: rec, Created: 50}}, Roster: r})
+	f.answer("w1", platform.PollReply{})
 	f.pass(inheritedLease - 100*time.Millisecond)
 	require.Empty(t, f.starts())
 	f.submit(idB, "quick", oneTask())
--- a/job/load.go
+++ b/job/load.go
@@ -12,29 +12,29 @@
 	"amberway/platform"
 )
 
-// watchGather is how long changes are gathered behind those that came: each
+// watchBatchDelay is how long changes are gathered behind those that came: each
 // watch is a priced call, and a job has some hundred milliseconds to spare.
-const watchGather = 20 * time.Millisecond
+const watchBatchDelay = 20 * time.Millisecond
 
 // listRevisions are the revisions from which to follow what was listed.
 type listRevisions struct {
 	jobs, workers platform.Revision
 }
 
-// narrow is the widest link, in megabits a second, on which what an owner takes over is
+// narrowLinkMbps is the widest link, in megabits a second, on which what an owner takes over is
 // read one list after the other: the lists of 1,200 jobs take a second of it, in which
 // the renewals of the owner's lease have to come through.
-const narrow = 10
+const narrowLinkMbps = 10
 
-// loadAtLast reads what to take over, again and again while the ownership lasts: a next
+// loadWithRetry reads what to take over, again and again while the ownership lasts: a next
 // owner would find the store as slow.
-func (o *owner) loadAtLast(ctx context.Context, config *platform.Deployed) (Inherited, listRevisions, error) {
+func (o *owner) loadWithRetry(ctx context.Context, config *platform.Deployed) (Inherited, listRevisions, error) {
 	for {
 		e, from, err := o.load(ctx, config)
 		if err == nil || errors.Is(err, errDeposed) || ctx.Err() != nil || o.sinceRenewal() > ownerTTL {
 			return e, from, err
 		}
-		o.log.Write(Note{What: "not read", Why: err.Error(), Inputs: []any{"age_ms", o.sinceRenewal().Milliseconds()}})
+		o.log.Write(LogLine{What: "not read", Why: err.Error(), Fields: []any{"age_ms", o.sinceRenewal().Milliseconds()}})
 		common.Sleep(ctx, followRetry)
 	}
 }
@@ -47,7 +47,7 @@
 	e := Inherited{Config: config, Progress: map[ID]Progress{}, WavesEnded: map[int64]bool{}, WavesBegan: map[int64][]string{}}
 	var from listRevisions
 	g, all := errgroup.WithContext(ctx)
-	if o.link > 0 && o.link <= narrow {
+	if o.linkMbps > 0 && o.linkMbps <= narrowLinkMbps {
 		g.SetLimit(1)
 	}
 	g.Go(func() (err error) {
@@ -59,12 +59,12 @@
 		from.workers, err = o.loadWorkers(all, &e)
 		return err
 	})
-	g.Go(func() error { return o.loadOwn(all, &e) })
+	g.Go(func() error { return o.loadOwnerState(all, &e) })
 	g.Go(func() error { return o.loadWaves(all, &e) })
 	err := g.Wait()
 	if err == nil {
 		from.jobs = o.catchUp(ctx, &e, from.jobs)
-		err = o.stillOwns(ctx)
+		err = o.checkOwnership(ctx)
 	}
 	return e, from, err
 }
@@ -72,17 +72,17 @@
 // addJob adds what an entry of the jobs says.
 func (e *Inherited) addJob(v Event) {
 	switch v := v.(type) {
-	case Accepted:
+	case JobAccepted:
 		e.Jobs = append(e.Jobs, v)
-	case CancelAsked:
+	case CancelRequested:
 		e.Cancels = append(e.Cancels, v.ID)
 	}
 }
 
-// stillOwns reports an error unless the owner's key is its own. What was listed
+// checkOwnership reports an error unless the owner's key is its own. What was listed
 // before is then of the owner's time: of later jobs the next owner takes for
 // granted that nobody else has seen them.
-func (o *owner) stillOwns(ctx context.Context) error {
+func (o *owner) checkOwnership(ctx context.Context) error {
 	v, err := o.KV.Get(ctx, ownerKey)
 	if errors.Is(err, platform.ErrNotFound) || (err == nil && v.Revision != platform.Revision(o.tenure.fence)) {
 		return errDeposed
@@ -96,8 +96,8 @@
 		return 0, err
 	}
 	for _, v := range l {
-		if v.Key == fullKey {
-			o.loadFull(v, e)
+		if v.Key == admissionKey {
+			o.loadAdmissionPolicy(v, e)
 		}
 		if strings.HasPrefix(v.Key, ownerKey) {
 			continue
@@ -107,14 +107,14 @@
 	return at, nil
 }
 
-// loadFull reads what the owner before has said of the queues.
-func (o *owner) loadFull(v platform.Entry, e *Inherited) {
-	f, err := decodeFull(v)
+// loadAdmissionPolicy reads what the owner before has said of the queues.
+func (o *owner) loadAdmissionPolicy(v platform.Entry, e *Inherited) {
+	f, err := decodeAdmissionPolicy(v)
 	if err != nil {
-		o.log.Write(Note{What: "entry not understood", Why: err.Error()})
+		o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
 		return
 	}
-	e.Full = f
+	e.Admission = f
 }
 
 func (o *owner) loadProgress(ctx context.Context, e *Inherited) error {
@@ -125,7 +125,7 @@
 	for _, v := range l {
 		id, p, err := decodeProgress(v)
 		if err != nil {
-			o.log.Write(Note{What: "entry not understood", Job: id, Why: err.Error()})
+			o.log.Write(LogLine{What: "entry not understood", Job: id, Why: err.Error()})
 			continue
 		}
 		e.Progress[id] = p
@@ -139,23 +139,23 @@
 		return 0, err
 	}
 	for _, v := range l {
-		if w, ok := o.worker(v); ok {
+		if w, ok := o.decodeWorker(v); ok {
 			e.Workers = append(e.Workers, w)
 		}
 	}
 	return at, nil
 }
 
-// loadOwn reads what earlier owners have kept beside the progress of jobs.
-func (o *owner) loadOwn(ctx context.Context, e *Inherited) error {
-	l, _, err := o.KV.List(ctx, ownKeys)
+// loadOwnerState reads what earlier owners have kept beside the progress of jobs.
+func (o *owner) loadOwnerState(ctx context.Context, e *Inherited) error {
+	l, _, err := o.KV.List(ctx, ownerOnlyPrefix)
 	if err != nil {
 		return err
 	}
 	for _, v := range l {
 		switch {
 		case v.Key == writeKey:
-			o.keeper.last = v.Revision
+			o.writer.last = v.Revision
 		case strings.HasPrefix(v.Key, wavePrefix):
 			o.loadWaveBegan(v, e)
 		}
@@ -167,7 +167,7 @@
 func (o *owner) loadWaveBegan(v platform.Entry, e *Inherited) {
 	n, began, err := decodeWaveBegan(v)
 	if err != nil {
-		o.log.Write(Note{What: "entry not understood", Why: err.Error()})
+		o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
 		return
 	}
 	e.WavesBegan[n] = began
@@ -181,7 +181,7 @@
 	for _, v := range l {
 		w, err := platform.DecodeWave(v)
 		if err != nil {
-			o.log.Write(Note{What: "entry not understood", Why: err.Error()})
+			o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
 			continue
 		}
 		e.Waves = append(e.Waves, w)
@@ -198,20 +198,20 @@
 // jobEvent returns what an entry of the jobs says, or nil.
 func (o *owner) jobEvent(v platform.Entry) Event {
 	if len(v.Key) > len(cancelPrefix) && v.Key[:len(cancelPrefix)] == cancelPrefix {
-		return CancelAsked{ID: ID(v.Key[len(cancelPrefix):])}
+		return CancelRequested{ID: ID(v.Key[len(cancelPrefix):])}
 	}
 	id, r, err := decodeRecord(v)
 	if err != nil {
-		o.log.Write(Note{What: "entry not understood", Job: id, Why: err.Error()})
+		o.log.Write(LogLine{What: "entry not understood", Job: id, Why: err.Error()})
 		return nil
 	}
-	return Accepted{ID: id, Record: r, Created: v.Revision}
+	return JobAccepted{ID: id, Record: r, Created: v.Revision}
 }
 
-func (o *owner) worker(v platform.Entry) (platform.Worker, bool) {
+func (o *owner) decodeWorker(v platform.Entry) (platform.Worker, bool) {
 	w, err := platform.DecodeWorker(v)
 	if err != nil {
-		o.log.Write(Note{What: "entry not understood", Why: err.Error()})
+		o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
 	}
 	return w, err == nil
 }
@@ -219,12 +219,12 @@
 // followJobs tells the core of new and cancelled jobs, and ends the ownership
 // when another owner shows among them.
 func (o *owner) followJobs(ctx context.Context, from platform.Revision) {
-	f := &follower{kv: o.KV, prefix: jobsPrefix, watchTimes: jobsWatch, gather: watchGather, log: o.log}
-	f.listed = func(l []platform.Entry) {
-		err := o.stillOwns(ctx)
+	f := &follower{kv: o.KV, prefix: jobsPrefix, watchTimes: jobsWatch, gather: watchBatchDelay, log: o.log}
+	f.onList = func(l []platform.Entry) {
+		err := o.checkOwnership(ctx)
 		for err != nil && !errors.Is(err, errDeposed) && ctx.Err() == nil {
 			common.Sleep(ctx, followRetry)
-			err = o.stillOwns(ctx)
+			err = o.checkOwnership(ctx)
 		}
 		if err != nil {
 			o.resign(err.Error())
@@ -236,7 +236,7 @@
 			}
 		}
 	}
-	f.changed = func(l []platform.Event) {
+	f.onChange = func(l []platform.Event) {
 		for _, v := range l {
 			switch {
 			case v.Key == ownerKey && v.Revision != platform.Revision(o.tenure.fence):
@@ -261,7 +261,7 @@
 // names no worker any more.
 func (o *owner) workerEvent(v platform.Event) Event {
 	if !v.Deleted {
-		if w, ok := o.worker(v.Entry); ok {
+		if w, ok := o.decodeWorker(v.Entry); ok {
 			return WorkerListed{Worker: w}
 		}
 	}
@@ -270,17 +270,17 @@
 
 // followWorkers tells the core of workers that come, change and go.
 func (o *owner) followWorkers(ctx context.Context, from platform.Revision) {
-	f := &follower{kv: o.KV, prefix: platform.WorkerPrefix, watchTimes: jobsWatch, gather: watchGather, log: o.log}
-	f.listed = func(l []platform.Entry) {
-		all := WorkersListed{}
+	f := &follower{kv: o.KV, prefix: platform.WorkerPrefix, watchTimes: jobsWatch, gather: watchBatchDelay, log: o.log}
+	f.onList = func(l []platform.Entry) {
+		all := WorkerList{}
 		for _, v := range l {
-			if w, ok := o.worker(v); ok {
+			if w, ok := o.decodeWorker(v); ok {
 				all = append(all, w)
 			}
 		}
 		o.send(ctx, all)
 	}
-	f.changed = func(l []platform.Event) {
+	f.onChange = func(l []platform.Event) {
 		for _, v := range l {
 			o.send(ctx, o.workerEvent(v))
 		}
--- a/job/looks.go
+++ b/job/looks.go
@@ -7,39 +7,39 @@
 	"amberway/platform"
 )
 
-// tend does what time asks for at one worker: the next look, orders to stop
+// reconcileWorker does what time asks for at one worker: the next look, orders to stop
 // that are owed, and the end of what has lapsed.
-func (c *Core) tend(w *worker) {
-	if w.silent > 0 || !w.listed {
-		c.tendLapse(w)
+func (c *Core) reconcileWorker(w *worker) {
+	if w.missedPolls > 0 || !w.listed {
+		c.expireLease(w)
 	}
 	if c.workers[w.ID] != w {
 		return
 	}
-	c.tendRuns(w)
-	if c.leaves(w) && w.met && w.silent == 0 {
+	c.reconcileRuns(w)
+	if c.shuttingDown(w) && w.contacted && w.missedPolls == 0 {
 		c.evacuate(w)
 	}
-	if !w.looking && !c.dormant(w) && !c.now.Before(c.nextLook(w)) && c.flow.mayLook(w.met, w.lookSentAt, c.now) {
-		c.look(w)
+	if !w.polling && !c.dormant(w) && !c.now.Before(c.nextPoll(w)) && c.flow.mayPoll(w.contacted, w.pollSentAt, c.now) {
+		c.poll(w)
 	}
 }
 
-// nextLook returns when the worker is to be looked at again.
-func (c *Core) nextLook(w *worker) time.Time {
+// nextPoll returns when the worker is to be looked at again.
+func (c *Core) nextPoll(w *worker) time.Time {
 	never := c.now.Add(time.Hour)
 	switch {
-	case !w.met || w.silent > 0 || w.doubtful:
-		return w.lookAt
-	case w.seen > w.kept && c.failing:
-		return w.lookAt
-	case w.seen > w.kept:
+	case !w.contacted || w.missedPolls > 0 || w.unverified:
+		return w.nextPollAt
+	case w.lastEndSeen > w.lastEndStored && c.writesFailing:
+		return w.nextPollAt
+	case w.lastEndSeen > w.lastEndStored:
 		// The next look follows the write, so that the worker can forget.
-		return latest(w.lookAt, w.lookSentAt.Add(lookWait))
-	case len(w.runs) > 0 || len(w.strays) > 0:
-		return w.lookAt
-	case w.kept > w.acked:
-		return latest(w.lookAt, w.idleSince.Add(ackDelay))
+		return latest(w.nextPollAt, w.pollSentAt.Add(pollWait))
+	case len(w.runs) > 0 || len(w.orphans) > 0:
+		return w.nextPollAt
+	case w.lastEndStored > w.lastEndAcked:
+		return latest(w.nextPollAt, w.idleSince.Add(ackDelay))
 	}
 	return never
 }
@@ -51,100 +51,100 @@
 	return b
 }
 
-func (c *Core) look(w *worker) {
-	o := platform.LookOrder{Fence: c.fence, LastSeen: w.forgets()}
-	if w.met && w.silent == 0 {
+func (c *Core) poll(w *worker) {
+	o := platform.PollOrder{Fence: c.fence, LastSeen: w.ackableEnd()}
+	if w.contacted && w.missedPolls == 0 {
 		// A silent worker's lease is left to lapse.
 		o.Until = w.lease(c.now)
 	}
-	if w.met && w.silent == 0 && w.seen == w.kept && len(w.runs)+len(w.strays) > 0 && !w.unsettled(c.now) {
-		o.Wait = c.lookWait(w)
+	if w.contacted && w.missedPolls == 0 && w.lastEndSeen == w.lastEndStored && len(w.runs)+len(w.orphans) > 0 && !w.needsPromptPoll(c.now) {
+		o.Wait = c.pollWaitFor(w)
 	}
-	w.looking, w.lookWaits = true, o.Wait > 0
-	w.lookSentAt = c.now
-	if w.met {
-		c.flow.take(lookBytes)
+	w.polling, w.pollWaits = true, o.Wait > 0
+	w.pollSentAt = c.now
+	if w.contacted {
+		c.flow.spend(pollBytes)
 	} else {
-		c.flow.take(firstBytes)
+		c.flow.spend(firstPollBytes)
 	}
-	c.do(LookAt{Worker: w.Worker, Order: o})
+	c.emit(PollWorker{Worker: w.Worker, Order: o})
 }
 
-// forgets returns the number of the last end that the worker may forget: none while it
+// ackableEnd returns the number of the last end that the worker may forget: none while it
 // may have started again unheard, as the number would have the next incarnation forget
 // ends of its own that nobody has read.
-func (w *worker) forgets() int64 {
-	if w.silent > 0 || w.unsure() {
+func (w *worker) ackableEnd() int64 {
+	if w.missedPolls > 0 || w.hasUnconfirmedStart() {
 		return 0
 	}
-	return w.kept
+	return w.lastEndStored
 }
 
-// lookWait returns how long a worker may wait for an end. Where serving tasks
+// pollWaitFor returns how long a worker may wait for an end. Where serving tasks
 // share it with others, their tails are looked at more often.
-func (c *Core) lookWait(w *worker) time.Duration {
+func (c *Core) pollWaitFor(w *worker) time.Duration {
 	if w.shared() {
-		return pacedLookWait
+		return pacedPollWait
 	}
-	return lookWait
+	return pollWait
 }
 
 // apply takes in what a worker has answered.
-func (e Looked) apply(c *Core) {
+func (e PollResult) apply(c *Core) {
 	w := c.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.looking = false
+	w.polling = false
 	switch {
-	case errors.Is(e.Err, platform.ErrOtherLife):
-		c.lose(w, "another life answers at its address")
+	case errors.Is(e.Err, platform.ErrOtherIncarnation):
+		c.removeWorker(w, "another life answers at its address")
 		return
 	case e.Err != nil:
-		w.silent++
-		w.lookAt = c.now.Add(lookRetry)
-		if w.silent == 1 {
-			c.do(Note{What: "worker silent", Worker: w.ID, Why: e.Err.Error()})
+		w.missedPolls++
+		w.nextPollAt = c.now.Add(pollRetry)
+		if w.missedPolls == 1 {
+			c.emit(LogLine{What: "worker silent", Worker: w.ID, Why: e.Err.Error()})
 			c.noteSilence(w)
 		}
-		c.tend(w)
+		c.reconcileWorker(w)
 		return
 	case e.Rejection == platform.RejectedFence:
-		c.do(StepDown{Why: "a worker has seen a higher fence"})
+		c.emit(StepDown{Why: "a worker has seen a higher fence"})
 		return
 	}
-	if !c.sameAnswers(w, e.Look.Origin) {
+	if !c.checkAnswerer(w, e.Poll.Origin) {
 		return
 	}
-	if !w.lookWaits {
-		c.flow.answered(w.lookSentAt, c.now)
+	if !w.pollWaits {
+		c.flow.noteResponse(w.pollSentAt, c.now)
 	}
-	news := w.silent > 0 || !w.met || len(e.Look.Ended) > 0 || len(w.strays) > 0
-	if w.silent > 0 {
-		c.do(Note{What: "worker answers again", Worker: w.ID, Inputs: []any{"looks", w.silent}})
+	news := w.missedPolls > 0 || !w.contacted || len(e.Poll.Ended) > 0 || len(w.orphans) > 0
+	if w.missedPolls > 0 {
+		c.emit(LogLine{What: "worker answers again", Worker: w.ID, Fields: []any{"looks", w.missedPolls}})
 	}
-	w.silent, w.missed = 0, 0
-	w.doubtful = false
-	if !w.met {
-		w.met = true
-		c.supersede(w)
+	w.missedPolls, w.missedLists = 0, 0
+	w.unverified = false
+	if !w.contacted {
+		w.contacted = true
+		c.removeOthersOnHost(w)
 		// Jobs may have waited for what it would say of earlier owners' runs.
 		c.reorder(w.Service)
 	}
-	w.lookAt = c.now
-	w.lookedAt, w.askedAt = c.now, e.SentAt
-	w.hearClock(e.Look.Clock, c.now)
-	w.acked = max(w.acked, e.Acked)
-	c.takeEnds(w, e.Look.Ended)
-	c.takeRunning(w, e.SentAt, e.Look.Running)
-	c.control(w)
-	if w.unsettled(c.now) {
-		w.lookAt = c.now.Add(w.settlePause())
+	w.nextPollAt = c.now
+	w.polledAt, w.answeredPollSentAt = c.now, e.SentAt
+	w.noteClock(e.Poll.Clock, c.now)
+	w.lastEndAcked = max(w.lastEndAcked, e.Acked)
+	c.handleEnds(w, e.Poll.Ended)
+	c.handleRunning(w, e.SentAt, e.Poll.Running)
+	c.adjustPace(w)
+	if w.needsPromptPoll(c.now) {
+		w.nextPollAt = c.now.Add(w.settlePause())
 	}
-	if w.seen > w.kept && c.failing {
-		w.lookAt = c.now.Add(lookRetry)
+	if w.lastEndSeen > w.lastEndStored && c.writesFailing {
+		w.nextPollAt = c.now.Add(pollRetry)
 	}
-	c.tend(w)
+	c.reconcileWorker(w)
 	if news {
 		c.replan(w.Service)
 	}
@@ -154,20 +154,20 @@
 // tells a crash. Where its machine has an order, the silence is no news, and the list no
 // more urgent than the link bears.
 func (c *Core) noteSilence(w *worker) {
-	if m := c.byName[w.Host]; m != nil && m.order != nil && m.order.recorded {
-		c.listAt = earliest(c.listAt, c.now.Add(max(listSilent, c.listGap())))
+	if m := c.machinesByName[w.Host]; m != nil && m.order != nil && m.order.recorded {
+		c.listAt = earliest(c.listAt, c.now.Add(max(listAfterSilence, c.listGap())))
 		return
 	}
 	c.silenceAt = c.now
-	c.listAt = earliest(c.listAt, c.now.Add(listSilent))
+	c.listAt = earliest(c.listAt, c.now.Add(listAfterSilence))
 }
 
-// takeRunning compares what runs with what is known to. Runs that started
+// handleRunning compares what runs with what is known to. Runs that started
 // after the look was sent may be missing from it.
-func (c *Core) takeRunning(w *worker, sentAt time.Time, rows []platform.RunningRow) {
-	there := make(map[strayID]bool, len(rows))
+func (c *Core) handleRunning(w *worker, sentAt time.Time, rows []platform.RunningRow) {
+	there := make(map[rawRunID]bool, len(rows))
 	for _, v := range rows {
-		there[strayID{task: v.Task, number: v.Run}] = true
+		there[rawRunID{task: v.Task, number: v.Run}] = true
 		k, ok := parseTaskKey(v.Task)
 		if !ok {
 			continue
@@ -177,27 +177,27 @@
 			r = c.adopt(w, k, v)
 		}
 		if r != nil {
-			c.heard(r, v)
+			c.updateRun(r, v)
 		}
 	}
 	for _, r := range w.runs {
-		if there[strayID{task: r.task.key().String(), number: r.number}] || !r.sentAt.Before(sentAt) {
+		if there[rawRunID{task: r.task.key().String(), number: r.number}] || !r.sentAt.Before(sentAt) {
 			continue
 		}
-		c.missing(r, sentAt)
+		c.runMissing(r, sentAt)
 	}
-	for n := range w.strays {
+	for n := range w.orphans {
 		if !there[n] {
-			w.dropStray(n)
+			w.dropOrphan(n)
 		}
 	}
 }
 
-// heard notes what a worker says of a run.
-func (c *Core) heard(r *run, v platform.RunningRow) {
-	r.begun, r.listed, r.absent, r.accused = true, true, false, false
-	if r.phase == unsure || r.phase == starting {
-		if r.phase == unsure {
+// updateRun notes what a worker says of a run.
+func (c *Core) updateRun(r *run, v platform.RunningRow) {
+	r.startConfirmed, r.listed, r.absent, r.crashSuspect = true, true, false, false
+	if r.phase == unconfirmed || r.phase == starting {
+		if r.phase == unconfirmed {
 			c.noteRun(r, "start settled", "its run is there", nil)
 		}
 		r.phase = running
@@ -205,24 +205,24 @@
 	}
 	if v.Percent != r.percent {
 		r.percent = v.Percent
-		r.movedAt = c.now
+		r.progressAt = c.now
 	}
-	r.heardAt = c.now
+	r.reportedAt = c.now
 	r.level = v.Level
-	c.checkRun(r)
-	c.prove(r)
-	c.takeStopBack(r)
+	c.checkProgress(r)
+	c.clearCrashes(r)
+	c.withdrawStop(r)
 	t := r.task
 	if v.Snapshot != "" && t.of.Checkpoints {
 		t.snapshot = v.Snapshot
 	}
 	if t.of.Lasting {
-		t.atWork = v.Percent >= 100 && r.phase == running
-		if t.atWork {
-			t.awaySince = time.Time{}
+		t.ready = v.Percent >= 100 && r.phase == running
+		if t.ready {
+			t.unavailableSince = time.Time{}
 		}
 	}
-	c.begin(t.of.of.job)
+	c.markStarted(t.of.of.job)
 }
 
 // adopt takes over a run that an earlier owner started, or marks it to be
@@ -231,42 +231,42 @@
 	t := c.task(k)
 	wanted := t != nil && !t.done && (len(t.runs) == 0 || t.of.Copies)
 	if !wanted {
-		id := strayID{task: v.Task, number: v.Run}
-		if w.strays[id] == nil {
-			w.addStray(id, c.strayOf(k))
-			c.do(Note{What: "run not wanted", Job: k.id, Task: v.Task, Run: v.Run, Worker: w.ID, Why: "its job or task is over, or it runs elsewhere"})
+		id := rawRunID{task: v.Task, number: v.Run}
+		if w.orphans[id] == nil {
+			w.addOrphan(id, c.orphanOf(k))
+			c.emit(LogLine{What: "run not wanted", Job: k.id, Task: v.Task, Run: v.Run, Worker: w.ID, Why: "its job or task is over, or it runs elsewhere"})
 		}
 		return nil
 	}
-	r := &run{number: v.Run, task: t, at: w, phase: running, sentAt: c.now, knownAt: c.now, movedAt: c.now, pacing: pacing{pace: fullPace, paceAgainAt: c.now}, percent: v.Percent, adoptedAt: v.Percent, begun: true, adopted: true}
+	r := &run{number: v.Run, task: t, at: w, phase: running, sentAt: c.now, knownAt: c.now, progressAt: c.now, pacing: pacing{pace: fullPace, paceRetryAt: c.now}, percent: v.Percent, adoptedPercent: v.Percent, startConfirmed: true, adopted: true}
 	r.attach()
-	c.do(Note{What: "run taken over", Job: k.id, Task: v.Task, Run: v.Run, Worker: w.ID})
+	c.emit(LogLine{What: "run taken over", Job: k.id, Task: v.Task, Run: v.Run, Worker: w.ID})
 	return r
 }
 
-// strayOf returns the run of a task that is not to be there, with what is still known of
+// orphanOf returns the run of a task that is not to be there, with what is still known of
 // its job.
-func (c *Core) strayOf(k taskKey) *stray {
+func (c *Core) orphanOf(k taskKey) *orphan {
 	j := c.jobs[k.id]
 	if j == nil || k.step >= len(j.Steps) {
-		return &stray{}
+		return &orphan{}
 	}
-	return &stray{job: j, takes: j.Steps[k.step].Resources}
+	return &orphan{job: j, resources: j.Steps[k.step].Resources}
 }
 
-// missing settles a run that the worker does not list although it should.
-func (c *Core) missing(r *run, sentAt time.Time) {
+// runMissing settles a run that the worker does not list although it should.
+func (c *Core) runMissing(r *run, sentAt time.Time) {
 	switch r.phase {
 	case running:
 		if r.knownAt.Before(sentAt) {
 			c.drop(r, lossUnlisted, "the worker does not list it")
 		}
 	case stopping:
-		if r.stopped && r.knownAt.Before(sentAt) {
+		if r.stopConfirmed && r.knownAt.Before(sentAt) {
 			c.drop(r, lossUnlisted, "stopped before it began")
 		}
 		r.absent = true
-	case unsure:
+	case unconfirmed:
 		// The order may still be carried out; only a stop settles it.
 		r.absent = r.knownAt.Before(sentAt)
 	case starting:
@@ -276,15 +276,15 @@
 // drop removes a run that can never go on.
 func (c *Core) drop(r *run, how loss, why string) {
 	t := r.task
-	c.noteRun(r, "run gone", why, []any{"how", string(how), "lived_ms", r.lived().Milliseconds()})
+	c.noteRun(r, "run gone", why, []any{"how", string(how), "lived_ms", r.knownAge().Milliseconds()})
 	r.detach()
 	r.at.idleSince = c.now
 	if t.of.Lasting {
-		c.lastingEnded(t, r, platform.EndLapsed)
+		c.lastingEnded(t, r, platform.EndExpired)
 	}
 	if t.of.Gang {
-		c.breakGang(t.of, r.number)
+		c.stopGang(t.of, r.number)
 	}
-	c.convict(r)
+	c.confirmCrash(r)
 	c.replan(r.at.Service)
 }
--- a/job/loss.go
+++ b/job/loss.go
@@ -9,9 +9,9 @@
 const (
 	// lossCrash: its worker ended, and nothing had said that it would.
 	lossCrash loss = "crashed"
-	// lossLapse: its worker is silent and its lease is over. The worker may have
+	// lossExpired: its worker is silent and its lease is over. The worker may have
 	// crashed, or be cut off.
-	lossLapse loss = "lapsed"
+	lossExpired loss = "lapsed"
 	// lossLeft: its worker had said that it leaves, or its record had gone before it
 	// fell silent.
 	lossLeft loss = "left"
@@ -21,23 +21,23 @@
 	lossUnlisted loss = "unlisted"
 )
 
-// lossWith returns how runs are lost with the life of the worker, which has ended.
-func (w *worker) lossWith() loss {
+// lossCause returns how runs are lost with the life of the worker, which has ended.
+func (w *worker) lossCause() loss {
 	switch {
 	case w.leaving:
 		return lossOrder
-	case w.Draining, !w.listed && !w.unlistedAt.IsZero() && w.heardAt.After(w.unlistedAt):
+	case w.Draining, !w.listed && !w.unlistedAt.IsZero() && w.answeredAt.After(w.unlistedAt):
 		return lossLeft
 	}
 	return lossCrash
 }
 
-// lived returns how long the run is known to have been there: until its worker was last
+// knownAge returns how long the run is known to have been there: until its worker was last
 // heard of. A run of an earlier owner that was listed had got over its start.
-func (r *run) lived() time.Duration {
-	d := max(0, r.at.heardAt.Sub(r.sentAt))
+func (r *run) knownAge() time.Duration {
+	d := max(0, r.at.answeredAt.Sub(r.sentAt))
 	if r.adopted {
-		d += freshFor
+		d += startupWindow
 	}
 	return d
 }
--- a/job/loss_test.go
+++ b/job/loss_test.go
@@ -13,41 +13,41 @@
 // lossOf returns how the first run that was lost was lost, as the log says it.
 func (f *fixture) lossOf() string {
 	for _, a := range f.out {
-		if n, ok := a.(Note); ok && n.What == "run gone" {
-			return fmt.Sprint(n.Inputs[1])
+		if n, ok := a.(LogLine); ok && n.What == "run gone" {
+			return fmt.Sprint(n.Fields[1])
 		}
 	}
 	return ""
 }
 
-func TestLogTellsACrashFromALapseAndALeave(t *testing.T) {
+func TestLogDistinguishesLossCauses(t *testing.T) {
 	for name, end := range map[string]struct {
 		do   func(f *fixture)
 		want loss
 	}{
-		"crash": {func(f *fixture) { f.fail("w1", platform.ErrOtherLife) }, lossCrash},
+		"crash": {func(f *fixture) { f.fail("w1", platform.ErrOtherIncarnation) }, lossCrash},
 		"leave": {func(f *fixture) {
 			w := testWorker("w1")
 			w.Draining = true
 			f.step(WorkerListed{Worker: w})
-			f.fail("w1", platform.ErrOtherLife)
+			f.fail("w1", platform.ErrOtherIncarnation)
 		}, lossLeft},
 		"record gone before it fell silent": {func(f *fixture) {
 			f.step(WorkerUnlisted{Name: "w1"})
 			f.pass(tickEvery)
-			f.answer("w1", platform.Look{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: f.core.lastRun}}})
-			f.fail("w1", platform.ErrOtherLife)
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: f.core.lastRun}}})
+			f.fail("w1", platform.ErrOtherIncarnation)
 		}, lossLeft},
 		"lapse": {func(f *fixture) {
 			for range 30 {
 				f.fail("w1", platform.ErrUnknown)
-				f.pass(lookRetry)
+				f.pass(pollRetry)
 			}
-		}, lossLapse},
+		}, lossExpired},
 		"order": {func(f *fixture) {
-			f.machinesAre(machineOf("w1", "blue"))
-			f.core.order(f.core.byName["host-of-w1"], &machineOrder{pool: "green"})
-			f.fail("w1", platform.ErrOtherLife)
+			f.listMachines(machineOf("w1", "blue"))
+			f.core.recordOrder(f.core.machinesByName["host-of-w1"], &machineOrder{pool: "green"})
+			f.fail("w1", platform.ErrOtherIncarnation)
 		}, lossOrder},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/job/machine_late_test.go
+++ b/job/machine_late_test.go
@@ -44,40 +44,40 @@
 	host := machineOf("s1", "spare")
 	host.Worker = ""
 	m := fencedMachine{pool: host.Pool}
-	f.machinesAre(host)
-	f.core.move(f.core.byName[host.Name], "blue", &demand{})
+	f.listMachines(host)
+	f.core.orderMove(f.core.machinesByName[host.Name], "blue", &demand{})
 	f.pass(tickEvery)
 	stuck := f.lastMove()
-	f.step(MachineOrdered{Machine: host.Name, Err: common.ErrUnknown})
+	f.step(MachineOrderResult{Machine: host.Name, Err: common.ErrUnknown})
 	f.pass(orderRetry + tickEvery)
 	require.Len(t, f.moves(), 2, "an unanswered move is repeated")
 	require.Equal(t, stuck, f.lastMove(), "as the same order")
-	f.step(MachineOrdered{Machine: host.Name, Verdict: m.move(f.lastMove())})
+	f.step(MachineOrderResult{Machine: host.Name, Verdict: m.move(f.lastMove())})
 	f.pass(time.Second)
-	f.machinesAre(machineOf("s1", "blue"))
+	f.listMachines(machineOf("s1", "blue"))
 
-	f.core.move(f.core.byName[host.Name], "green", &demand{})
+	f.core.orderMove(f.core.machinesByName[host.Name], "green", &demand{})
 	f.pass(tickEvery)
 	require.Equal(t, platform.OrderTaken, m.move(f.lastMove()))
 	require.Equal(t, platform.OrderFence, m.move(stuck))
 	require.Equal(t, "green", m.pool)
 }
 
-// TestOrdersOfANextOwnerGoBeforeAllOfTheLast shows that the fences of an owner's orders stay
+// TestFencesOfNextOwnerExceedThoseOfPrevious shows that the fences of an owner's orders stay
 // below those of the next one, whose claim is written after them.
-func TestOrdersOfANextOwnerGoBeforeAllOfTheLast(t *testing.T) {
+func TestFencesOfNextOwnerExceedThoseOfPrevious(t *testing.T) {
 	f := newFixture(t)
 	host := machineOf("s1", "spare")
 	host.Worker = ""
-	f.machinesAre(host)
-	f.core.move(f.core.byName[host.Name], "blue", &demand{})
+	f.listMachines(host)
+	f.core.orderMove(f.core.machinesByName[host.Name], "blue", &demand{})
 	f.pass(tickEvery)
 	last := f.lastMove().Holder.Fence
 	require.Equal(t, platform.Fence(f.revision), last)
 
 	next := newOwnerFixture(t, platform.Fence(f.revision+1))
-	next.machinesAre(host)
-	next.core.move(next.core.byName[host.Name], "blue", &demand{})
+	next.listMachines(host)
+	next.core.orderMove(next.core.machinesByName[host.Name], "blue", &demand{})
 	next.pass(tickEvery)
 	require.Greater(t, next.lastMove().Holder.Fence, last)
 }
--- a/job/machine_orders.go
+++ b/job/machine_orders.go
@@ -12,69 +12,69 @@
 	return platform.Holder{Name: c.holder, Fence: o.fence}
 }
 
-// settleOrder ends an order whose machine is up in a list that was asked for
+// finishOrder ends an order whose machine is up in a list that was asked for
 // after the order was taken. An order that was done already leaves the machine
 // as it was.
-func (c *Core) settleOrder(m *machine, listSentAt time.Time) {
+func (c *Core) finishOrder(m *machine, listSentAt time.Time) {
 	o := m.order
-	if o == nil || o.takenAt.IsZero() || listSentAt.Before(o.takenAt.Add(orderShows)) || m.State != platform.MachineUp {
+	if o == nil || o.acceptedAt.IsZero() || listSentAt.Before(o.acceptedAt.Add(orderVisibleAfter)) || m.State != platform.MachineUp {
 		return
 	}
 	if o.wave != nil {
 		o.wave.finish(m.Name)
 	}
-	c.doubtLives(m)
-	c.do(Note{What: "machine up", Why: "its order is done", Inputs: []any{"machine", m.Name, "pool", m.Pool, "took_ms", c.now.Sub(o.sentAt).Milliseconds()}})
+	c.markUnverified(m)
+	c.emit(LogLine{What: "machine up", Why: "its order is done", Fields: []any{"machine", m.Name, "pool", m.Pool, "took_ms", c.now.Sub(o.sentAt).Milliseconds()}})
 	c.clearOrder(m)
 }
 
 // apply takes in the answer to an order.
-func (e MachineOrdered) apply(c *Core) {
-	m := c.byName[e.Machine]
+func (e MachineOrderResult) apply(c *Core) {
+	m := c.machinesByName[e.Machine]
 	if m == nil || m.order == nil {
 		return
 	}
 	o := m.order
-	c.listSoon()
-	c.do(Note{What: "machine ordered", Why: string(e.Verdict) + errorText(e.Err), Inputs: []any{"machine", e.Machine, "pool", o.pool, "wave", o.wave.name()}})
+	c.relistSoon()
+	c.emit(LogLine{What: "machine ordered", Why: string(e.Verdict) + errorText(e.Err), Fields: []any{"machine", e.Machine, "pool", o.pool, "wave", o.wave.name()}})
 	switch {
 	case e.Err == nil && e.Verdict == platform.OrderTaken:
-		o.takenAt = c.now
+		o.acceptedAt = c.now
 		if o.wave != nil {
-			c.waveBegan(o.wave, m.Name)
+			c.noteWaveBegan(o.wave, m.Name)
 		}
 	case errors.Is(e.Err, platform.ErrUnknown):
 		// It may be carried out late: the same order again settles it.
-		o.repeatAt = c.now.Add(orderRetry)
+		o.resendAt = c.now.Add(orderRetry)
 	case e.Verdict == platform.OrderFence:
-		c.do(StepDown{Why: "a machine has had orders with a higher fence"})
+		c.emit(StepDown{Why: "a machine has had orders with a higher fence"})
 	case e.Verdict == platform.OrderWave:
 		o.wave.drop(m.Name)
 		c.clearOrder(m)
 	default:
 		if errors.Is(e.Err, platform.ErrRefused) {
-			c.budget.refused(c.now)
+			c.orderBudget.pause(c.now)
 		}
 		m.retryAt = c.now.Add(orderRetry)
 		c.clearOrder(m)
 	}
 }
 
-// doubtLives has those workers of a machine answer anew that were known before its order
+// markUnverified has those workers of a machine answer anew that were known before its order
 // was first sent: it may have a worker of the same name since.
-func (c *Core) doubtLives(m *machine) {
-	for _, w := range c.lives[m.Name] {
-		if w.knownSince.Before(m.order.givenAt) {
-			w.doubtful = true
-			w.lookAt = c.now
+func (c *Core) markUnverified(m *machine) {
+	for _, w := range c.workersByHost[m.Name] {
+		if w.knownSince.Before(m.order.decidedAt) {
+			w.unverified = true
+			w.nextPollAt = c.now
 		}
 	}
 }
 
 func (c *Core) clearOrder(m *machine) {
 	m.order = nil
-	m.lend = ""
-	m.emptyingSince = time.Time{}
+	m.transferTo = ""
+	m.drainingSince = time.Time{}
 	c.release(m)
 }
 
@@ -85,9 +85,9 @@
 		return
 	}
 	w.leaving = false
-	if w.retired {
-		w.retired, w.rostered = false, false
-		c.keepRoster(w)
+	if w.offRoster {
+		w.offRoster, w.inRoster = false, false
+		c.markRosterDirty(w)
 	}
 }
 
@@ -100,9 +100,9 @@
 		return
 	}
 	w.leaving = true
-	w.retired = len(w.runs)+len(w.strays) == 0 && !w.owes()
-	if w.retired {
-		c.keepRoster(w)
+	w.offRoster = len(w.runs)+len(w.orphans) == 0 && !w.hasUnstoredEnds()
+	if w.offRoster {
+		c.markRosterDirty(w)
 	}
 }
 
@@ -123,28 +123,28 @@
 // resend repeats an order whose answer was lost.
 func (c *Core) resend(m *machine) {
 	o := m.order
-	if o == nil || !o.takenAt.IsZero() || o.repeatAt.IsZero() || c.now.Before(o.repeatAt) {
+	if o == nil || !o.acceptedAt.IsZero() || o.resendAt.IsZero() || c.now.Before(o.resendAt) {
 		return
 	}
 	if !c.mayOrder() {
 		return
 	}
-	c.budget.spend()
-	o.repeatAt = time.Time{}
-	c.send(m)
+	c.orderBudget.spend()
+	o.resendAt = time.Time{}
+	c.sendOrder(m)
 }
 
-// free reports whether the machine may get an order now.
-func (c *Core) free(m *machine) bool {
-	return m.order == nil && m.lend == "" && m.missed == 0 && m.State == platform.MachineUp &&
+// orderable reports whether the machine may get an order now.
+func (c *Core) orderable(m *machine) bool {
+	return m.order == nil && m.transferTo == "" && m.missedLists == 0 && m.State == platform.MachineUp &&
 		!c.now.Before(m.retryAt) && !c.now.Before(c.heldUntil[m.Name])
 }
 
-// lately returns the machines that have orders or had them within handOver.
-func (c *Core) lately() []string {
+// recentlyOrdered returns the machines that have orders or had them within handOver.
+func (c *Core) recentlyOrdered() []string {
 	var l []string
-	for n, m := range c.byName {
-		if m.order != nil || c.now.Sub(m.orderedAt) < handOver {
+	for n, m := range c.machinesByName {
+		if m.order != nil || c.now.Sub(m.orderedAt) < handoverPause {
 			l = append(l, n)
 		}
 	}
@@ -152,35 +152,35 @@
 	return l
 }
 
-// recorded sends the orders that the store now names to a next owner.
-func (c *Core) recorded(ordered []string, at platform.Revision) {
+// sendRecorded sends the orders that the store now names to a next owner.
+func (c *Core) sendRecorded(ordered []string, at platform.Revision) {
 	for _, n := range ordered {
-		m := c.byName[n]
+		m := c.machinesByName[n]
 		if m != nil && m.order != nil && !m.order.recorded {
 			m.order.recorded = true
 			m.order.fence = platform.Fence(at)
-			c.send(m)
+			c.sendOrder(m)
 		}
 	}
 }
 
-// order records that a machine is to get an order, which is sent after that.
-func (c *Core) order(m *machine, o *machineOrder) {
-	o.sentAt, o.givenAt = c.now, c.now
+// recordOrder records that a machine is to get an order, which is sent after that.
+func (c *Core) recordOrder(m *machine, o *machineOrder) {
+	o.sentAt, o.decidedAt = c.now, c.now
 	m.order = o
-	c.budget.spend()
+	c.orderBudget.spend()
 	c.retire(m)
-	c.keepOrdered(m)
+	c.markOrderedDirty(m)
 }
 
-// send gives the order of the machine.
-func (c *Core) send(m *machine) {
+// sendOrder gives the order of the machine.
+func (c *Core) sendOrder(m *machine) {
 	o := m.order
 	m.orderedAt = c.now
 	o.sentAt = c.now
 	if o.wave != nil {
-		c.do(MaintainMachine{Holder: c.orderHolder(o), Machine: m.Name, Wave: o.wave.Number})
+		c.emit(MaintainMachine{Holder: c.orderHolder(o), Machine: m.Name, Wave: o.wave.Number})
 		return
 	}
-	c.do(MoveMachine{Holder: c.orderHolder(o), Machine: m.Name, Pool: o.pool})
+	c.emit(MoveMachine{Holder: c.orderHolder(o), Machine: m.Name, Pool: o.pool})
 }
--- a/job/machines_test.go
+++ b/job/machines_test.go
@@ -11,8 +11,8 @@
 )
 
 // lists answers the list of machines for the fixture's workers.
-func (f *fixture) machinesAre(l ...platform.Machine) {
-	f.step(MachinesListed{SentAt: f.now, Machines: l})
+func (f *fixture) listMachines(l ...platform.Machine) {
+	f.step(MachineList{SentAt: f.now, Machines: l})
 }
 
 func machineOf(id, pool string) platform.Machine {
@@ -46,21 +46,21 @@
 	f := newFixture(t)
 	f.join("w1", "w2", "w3")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue"), machineOf("w3", "blue")}
-	f.machinesAre(up...)
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
+	f.listMachines(up...)
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(time.Second)
 	l := f.upkeeps()
 	require.Len(t, l, 1)
-	f.step(MachineOrdered{Machine: l[0].Machine})
+	f.step(MachineOrderResult{Machine: l[0].Machine})
 	f.pass(time.Second)
 	require.Len(t, f.upkeeps(), 1, "the first is still down")
-	f.machinesAre(up...)
+	f.listMachines(up...)
 	f.pass(200 * time.Millisecond)
 	l = f.upkeeps()
 	require.Len(t, l, 2)
-	f.step(MachineOrdered{Machine: l[1].Machine})
+	f.step(MachineOrderResult{Machine: l[1].Machine})
 	f.pass(time.Second)
-	f.machinesAre(up...)
+	f.listMachines(up...)
 	f.pass(200 * time.Millisecond)
 	require.True(t, f.core.waves[4].reported)
 }
@@ -68,46 +68,46 @@
 func TestUpkeepWaitsForAWorkerThatHasNotAnswered(t *testing.T) {
 	f := newFixture(t)
 	f.step(WorkerListed{Worker: testWorker("w1")})
-	f.machinesAre(machineOf("w1", "blue"))
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
-	f.pass(handOver + time.Second)
+	f.listMachines(machineOf("w1", "blue"))
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
+	f.pass(handoverPause + time.Second)
 	require.Empty(t, f.upkeeps())
-	f.answer("w1", platform.Look{})
+	f.answer("w1", platform.PollReply{})
 	f.pass(200 * time.Millisecond)
 	require.Len(t, f.upkeeps(), 1)
 }
 
-func TestMachineOfAWorkerWhoseRecordIsGoneIsNotTakenForEmpty(t *testing.T) {
+func TestMachineOfUnlistedWorkerIsNotConsideredEmpty(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
-	f.machinesAre(machineOf("w1", "blue"))
+	f.listMachines(machineOf("w1", "blue"))
 	s := oneTask()
 	s.Lasting = true
-	s.MayMiss = 1
+	s.MaxUnavailable = 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
 	f.took(l[0])
 	f.step(WorkerUnlisted{Name: "w1"})
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
 	for range 40 {
 		f.pass(100 * time.Millisecond)
 		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.Look{Running: []platform.RunningRow{runningRow(l[0], 100)}})
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 		}
 	}
 	require.Empty(t, f.upkeeps())
 }
 
-func TestListFromBeforeAnOrderDoesNotSettleIt(t *testing.T) {
+func TestListFromBeforeAnOrderDoesNotFinishIt(t *testing.T) {
 	f := newFixture(t)
-	f.machinesAre(machineOf("", "spare"))
-	m := f.core.byName["host-of-"]
+	f.listMachines(machineOf("", "spare"))
+	m := f.core.machinesByName["host-of-"]
 	m.Worker = ""
-	f.core.move(m, "blue", &demand{})
+	f.core.orderMove(m, "blue", &demand{})
 	sent := f.now
 	f.pass(100 * time.Millisecond)
-	f.step(MachineOrdered{Machine: m.Name})
-	f.step(MachinesListed{SentAt: sent, Machines: []platform.Machine{machineOf("", "spare")}})
+	f.step(MachineOrderResult{Machine: m.Name})
+	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("", "spare")}})
 	require.NotNil(t, m.order)
 }
 
@@ -115,23 +115,23 @@
 	f := newFixture(t)
 	f.join("w1", "w2", "w3")
 	s := oneTask()
-	s.Count, s.MaxPerWorker, s.Lasting, s.MayMiss = 2, 1, true, 1
+	s.Count, s.MaxPerWorker, s.Lasting, s.MaxUnavailable = 2, 1, true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
 	require.Len(t, l, 2)
 	for _, r := range l {
 		f.took(r)
-		f.answer(string(r.Worker.ID), platform.Look{Running: []platform.RunningRow{runningRow(r, 100)}})
+		f.answer(string(r.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 	}
 	w := f.core.workers[l[0].Worker.ID]
 	other := f.core.workers[l[1].Worker.ID]
 	f.core.evacuate(w)
 	require.Empty(t, f.stops(), "the owner before may have stopped one of them just now")
-	f.pass(stopsShow)
+	f.pass(evacuationDelay)
 	f.core.evacuate(w)
 	require.Empty(t, f.stops(), "the other's worker has not answered of late")
 	for _, r := range l {
-		f.answer(string(r.Worker.ID), platform.Look{Running: []platform.RunningRow{runningRow(r, 100)}})
+		f.answer(string(r.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 	}
 	f.core.evacuate(w)
 	f.core.evacuate(other)
@@ -143,9 +143,9 @@
 func TestLastingTasksThatHaveJustBegunAreNotEvacuatedTogether(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
-	f.pass(stopsShow)
+	f.pass(evacuationDelay)
 	s := oneTask()
-	s.Count, s.Lasting, s.MayMiss = 2, true, 1
+	s.Count, s.Lasting, s.MaxUnavailable = 2, true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
 	require.Len(t, l, 2)
@@ -153,8 +153,8 @@
 		f.took(r)
 	}
 	f.join("w2")
-	rows := func(percent int) platform.Look {
-		return platform.Look{Running: []platform.RunningRow{runningRow(l[0], percent), runningRow(l[1], percent)}}
+	rows := func(percent int) platform.PollReply {
+		return platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], percent), runningRow(l[1], percent)}}
 	}
 	f.pass(500 * time.Millisecond)
 	if _, ok := f.looks["w1"]; ok {
@@ -178,11 +178,11 @@
 func TestLastingTasksBeginOnHostsThatNoWaveWillMaintain(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
-	f.machinesAre(machineOf("w1", "blue"), machineOf("w2", "blue"))
+	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
 	f.submit(idB, "quick", oneTask())
 	busy := f.starts()[0]
 	f.took(busy)
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{busy.Worker.Host}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{busy.Worker.Host}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(tickEvery)
 	s := oneTask()
 	s.Lasting = true
@@ -196,7 +196,7 @@
 func lastingOn(f *fixture) StartRun {
 	f.join("w1")
 	s := oneTask()
-	s.Lasting, s.MayMiss = true, 1
+	s.Lasting, s.MaxUnavailable = true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()[0]
 	f.took(l)
@@ -204,12 +204,12 @@
 	return l
 }
 
-// workOn lets time pass in which the lasting run is at work.
-func (f *fixture) workOn(r StartRun, d time.Duration) {
+// runAtWork lets time pass in which the lasting run is at work.
+func (f *fixture) runAtWork(r StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(100 * time.Millisecond)
 		if _, ok := f.looks[r.Worker.ID]; ok {
-			f.answer(string(r.Worker.ID), platform.Look{Running: []platform.RunningRow{runningRow(r, 100)}})
+			f.answer(string(r.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
 	}
 }
@@ -217,12 +217,12 @@
 func TestLastingTaskLeavesAWorkerThatDrains(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, stopsShow+time.Second)
+	f.runAtWork(r, evacuationDelay+time.Second)
 	require.Empty(t, f.stops())
 	w := testWorker("w1")
 	w.Draining = true
 	f.step(WorkerListed{Worker: w})
-	f.workOn(r, 100*time.Millisecond)
+	f.runAtWork(r, 100*time.Millisecond)
 	require.Len(t, f.stops(), 1)
 }
 
@@ -230,11 +230,11 @@
 func TestLastingTaskLeavesAWorkerWhoseRecordDoesNotComeBack(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, stopsShow+time.Second)
+	f.runAtWork(r, evacuationDelay+time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
-	f.workOn(r, relistedWithin-200*time.Millisecond)
+	f.runAtWork(r, relistedWithin-200*time.Millisecond)
 	require.Empty(t, f.stops(), "the store may have been away, and the record come back")
-	f.workOn(r, time.Second)
+	f.runAtWork(r, time.Second)
 	require.Len(t, f.stops(), 1)
 }
 
@@ -243,31 +243,31 @@
 func TestLastingTaskStaysWhileRecordsComeBackAfterAnOutage(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, stopsShow+time.Second)
+	f.runAtWork(r, evacuationDelay+time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	for range 40 {
 		f.passWithoutStore(100 * time.Millisecond)
 		if _, ok := f.looks[r.Worker.ID]; ok {
-			f.answer("w1", platform.Look{Running: []platform.RunningRow{runningRow(r, 100)}})
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
 	}
-	f.workOn(r, relistedWithin-200*time.Millisecond)
+	f.runAtWork(r, relistedWithin-200*time.Millisecond)
 	require.Empty(t, f.stops())
 }
 
 // What ran on a worker that fell silent begins anew as soon as the list of
 // machines shows that its machine is down, long before its lease has lapsed.
-func TestListOfMachinesTellsOfACrash(t *testing.T) {
+func TestMachineListRevealsCrash(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, time.Second)
+	f.runAtWork(r, time.Second)
 	f.fail("w1", common.ErrUnknown)
-	f.pass(listSilent + tickEvery)
+	f.pass(listAfterSilence + tickEvery)
 	require.Contains(t, f.out, Action(ListMachines{}))
 	m := machineOf("w1", "blue")
 	m.State, m.Worker = platform.MachineDown, ""
 	f.out = nil
-	f.machinesAre(m, machineOf("w2", "blue"))
+	f.listMachines(m, machineOf("w2", "blue"))
 	f.pass(100 * time.Millisecond)
 	require.Len(t, f.starts(), 1)
 }
@@ -277,8 +277,8 @@
 	f.join("w1")
 	spare := machineOf("s1", "spare")
 	spare.Worker = ""
-	f.machinesAre(machineOf("w1", "blue"), spare)
-	f.pass(handOver + 100*time.Millisecond)
+	f.listMachines(machineOf("w1", "blue"), spare)
+	f.pass(handoverPause + 100*time.Millisecond)
 	s := oneTask()
 	s.Count = 8
 	f.submit(idA, "quick", s)
@@ -291,8 +291,8 @@
 func TestIdleHostsGoToTheSparePool(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
-	f.machinesAre(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.pass(handOver + idleFor + time.Second)
+	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
+	f.pass(handoverPause + poolIdleTimeout + time.Second)
 	l := f.moves()
 	require.NotEmpty(t, l)
 	require.Equal(t, "spare", l[0].Pool)
@@ -310,43 +310,43 @@
 func TestWorkerOfAMovedMachineDoesNotHoldUpTheNextOwner(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
-	f.machinesAre(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.pass(handOver + idleFor + time.Second)
+	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
+	f.pass(handoverPause + poolIdleTimeout + time.Second)
 	require.NotEmpty(t, f.moves())
-	require.Contains(t, f.own, rosterPartKey(rosterPart("w1")), "it was named before")
+	require.Contains(t, f.ownerKeys, rosterShardKey(rosterShard("w1")), "it was named before")
 	for _, e := range f.roster().Workers {
 		require.NotEqual(t, f.moves()[0].Machine, e.Host)
 	}
 }
 
-func TestInheritedWorkerWhoseMachineRunsAnotherLifeIsGivenUp(t *testing.T) {
+func TestInheritedWorkerWhoseMachineRunsAnotherIncarnationIsGivenUp(t *testing.T) {
 	f := newFixture(t)
 	rec := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{oneTask()}}, f.now)
 	gone := RosterEntry{ID: "older", Service: "blue", Host: "host-of-w1"}
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w2")},
-		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 50}},
 		Roster: Roster{Workers: []RosterEntry{gone}},
 	})
-	f.answer("w2", platform.Look{})
+	f.answer("w2", platform.PollReply{})
 	f.fail("older", platform.ErrNotSent)
 	require.Empty(t, f.starts())
-	f.machinesAre(machineOf("w1", "spare"), machineOf("w2", "blue"))
+	f.listMachines(machineOf("w1", "spare"), machineOf("w2", "blue"))
 	f.pass(tickEvery)
 	require.Len(t, f.starts(), 1)
 }
 
-func TestMachineThatTheOwnerBeforeOrderedIsLeftAloneForAWhile(t *testing.T) {
+func TestMachineOrderedByPreviousOwnerIsLeftAloneForAWhile(t *testing.T) {
 	f := newFixture(t)
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
 		Roster: Roster{Ordered: []string{"host-of-w1"}},
 	})
-	f.answer("w1", platform.Look{})
-	f.answer("w2", platform.Look{})
-	f.machinesAre(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1", "host-of-w2"}, Within: 20 * time.Second, Cap: 2}})
-	f.pass(handOver - 200*time.Millisecond)
+	f.answer("w1", platform.PollReply{})
+	f.answer("w2", platform.PollReply{})
+	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1", "host-of-w2"}, Within: 20 * time.Second, Cap: 2}})
+	f.pass(handoverPause - 200*time.Millisecond)
 	for _, m := range f.upkeeps() {
 		require.Equal(t, "host-of-w2", m.Machine)
 	}
@@ -358,15 +358,15 @@
 func TestOrderIsSentOnlyOnceTheStoreNamesItsMachine(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
-	f.machinesAre(machineOf("w1", "blue"))
-	f.pass(getToKnow + tickEvery)
+	f.listMachines(machineOf("w1", "blue"))
+	f.pass(firstOrderDelay + tickEvery)
 	f.out = nil
 	f.holdWrites = true
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(300 * time.Millisecond)
 	require.Empty(t, f.upkeeps())
 	f.holdWrites = false
-	f.step(Kept{Number: f.core.number})
+	f.step(WriteResult{Number: f.core.writeNumber})
 	f.pass(200 * time.Millisecond)
 	require.Len(t, f.upkeeps(), 1)
 	require.Equal(t, []string{"host-of-w1"}, f.roster().Ordered)
@@ -380,17 +380,17 @@
 // A next owner that took over in between would have ordered the host as well. Calls with a
 // lower fence than one seen before showed it, as the order had no fence of its own yet.
 func TestNextOrderAfterARefusedOneIsSentOnceItIsRecorded(t *testing.T) {
-	for name, refused := range map[string]MachineOrdered{
-		"not sent": {Err: errLeaseDoubtful},
+	for name, refused := range map[string]MachineOrderResult{
+		"not sent": {Err: errLeaseNotRenewed},
 		"busy":     {Verdict: platform.OrderBusy},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			host := machineOf("s1", "spare")
 			host.Worker = ""
-			f.machinesAre(host)
-			m := f.core.byName[host.Name]
-			f.core.move(m, "blue", &demand{})
+			f.listMachines(host)
+			m := f.core.machinesByName[host.Name]
+			f.core.orderMove(m, "blue", &demand{})
 			f.pass(tickEvery)
 			refused.Machine = host.Name
 			f.step(refused)
@@ -398,10 +398,10 @@
 			f.pass(orderRetry + tickEvery)
 			f.out = nil
 			f.holdWrites = true
-			f.core.move(m, "blue", &demand{})
+			f.core.orderMove(m, "blue", &demand{})
 			f.pass(time.Second)
 			require.Empty(t, f.moves())
-			f.step(Kept{Number: f.core.number, At: f.revision + 1})
+			f.step(WriteResult{Number: f.core.writeNumber, Revision: f.revision + 1})
 			f.pass(time.Second)
 			require.Len(t, f.moves(), 1)
 		})
@@ -417,9 +417,9 @@
 	record := func(came time.Time) Record {
 		return NewRecord(q, platform.Submission{Spec: "s", Steps: []platform.Step{{Count: 100, Resources: platform.Resources{MilliCores: 1000}, Estimate: time.Second}}}, came)
 	}
-	f.step(Inherited{Config: testConfig(), Jobs: []Accepted{{ID: idA, Record: record(long), Created: 10}}})
+	f.step(Inherited{Config: testConfig(), Jobs: []JobAccepted{{ID: idA, Record: record(long), Created: 10}}})
 	require.Less(t, f.core.balance.arrivals["blue"].long.value(f.now), 1.0, "cores")
-	f.step(Accepted{ID: idB, Record: record(now), Created: 300})
+	f.step(JobAccepted{ID: idB, Record: record(now), Created: 300})
 	require.Greater(t, f.core.balance.arrivals["blue"].long.value(f.now), 80.0, "cores")
 }
 
@@ -428,11 +428,11 @@
 func TestPoolDoesNotCountHostsThatHaveLeft(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
-	f.machinesAre(machineOf("w1", "blue"), machineOf("w2", "blue"))
+	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
 	gone := machineOf("", "spare")
 	gone.Name = "host-of-w1"
-	f.machinesAre(gone, machineOf("w2", "blue"))
-	for _, d := range f.core.demands("spare") {
+	f.listMachines(gone, machineOf("w2", "blue"))
+	for _, d := range f.core.poolDemands("spare") {
 		if d.service == "blue" {
 			require.Equal(t, 1, d.have)
 		}
@@ -441,27 +441,27 @@
 
 // The answer to a list may be a second old when it comes. A life that began since
 // is not in it, whatever else it says of the machine.
-func TestListThatWasAskedForBeforeALifeBeganSaysNothingOfIt(t *testing.T) {
+func TestMachineListFromBeforeAnIncarnationSaysNothingOfIt(t *testing.T) {
 	f := newFixture(t)
 	asked := f.now
 	f.pass(500 * time.Millisecond)
 	f.join("w1", "w2")
 	f.submit(idA, "quick", oneTask())
 	s := f.starts()[0]
-	f.step(Started{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: common.ErrUnknown})
+	f.step(StartResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: common.ErrUnknown})
 	f.fail(string(s.Worker.ID), common.ErrUnknown)
 	before := machineOf(string(s.Worker.ID), "blue")
 	before.Worker = "an earlier life"
-	f.step(MachinesListed{SentAt: asked, Machines: []platform.Machine{before}})
+	f.step(MachineList{SentAt: asked, Machines: []platform.Machine{before}})
 	require.Contains(t, f.core.workers, s.Worker.ID)
 	require.Empty(t, f.starts(), "the order may still be carried out")
-	f.step(MachinesListed{SentAt: f.now, Machines: []platform.Machine{before}})
+	f.step(MachineList{SentAt: f.now, Machines: []platform.Machine{before}})
 	require.NotContains(t, f.core.workers, s.Worker.ID)
 }
 
-// TestSilenceOfAnOrderedMachineHastensNoListOnANarrowLink has a worker fall silent whose
+// TestSilentOrderedMachineTriggersNoListOnNarrowLink has a worker fall silent whose
 // machine was ordered away: each move would cost a list of all machines.
-func TestSilenceOfAnOrderedMachineHastensNoListOnANarrowLink(t *testing.T) {
+func TestSilentOrderedMachineTriggersNoListOnNarrowLink(t *testing.T) {
 	lists := func(f *fixture) (n int) {
 		for _, a := range f.out {
 			if _, ok := a.(ListMachines); ok {
@@ -476,19 +476,19 @@
 		want     int
 	}{{true, 0.01, 0}, {true, 200, 1}, {false, 0.01, 1}, {false, 200, 1}} {
 		f := newFixture(t)
-		f.core.flow = newFlow(Size{Link: c.megabits}, f.now)
+		f.core.flow = newFlowControl(Size{LinkMbps: c.megabits}, f.now)
 		f.join("w1")
-		f.machinesAre(machineOf("w1", "blue"))
+		f.listMachines(machineOf("w1", "blue"))
 		if c.ordered {
-			f.core.order(f.core.byName["host-of-w1"], &machineOrder{pool: "spare"})
+			f.core.recordOrder(f.core.machinesByName["host-of-w1"], &machineOrder{pool: "spare"})
 			f.pass(tickEvery)
 		}
 		f.out = nil
-		f.core.look(f.core.workers["w1"])
+		f.core.poll(f.core.workers["w1"])
 		f.fail("w1", platform.ErrUnknown)
-		f.pass(listSilent + 2*tickEvery)
+		f.pass(listAfterSilence + 2*tickEvery)
 		require.Equal(t, c.want, lists(f), "%+v", c)
-		f.pass(longestList)
+		f.pass(maxListGap)
 		require.Equal(t, 1, lists(f))
 	}
 }
--- a/job/metrics.go
+++ b/job/metrics.go
@@ -17,15 +17,15 @@
 // metrics counts what a node does. The sets of labels are fixed, so that their
 // number is bounded.
 type metrics struct {
-	intake  metric.Int64Counter
-	orders  metric.Int64Counter
-	ends    metric.Int64Counter
-	losses  metric.Int64Counter
-	started metric.Float64Histogram
-	served  metric.Int64Counter
-	moves   metric.Int64Counter
-	took    metric.Int64Counter
-	labels  labels
+	intake        metric.Int64Counter
+	orders        metric.Int64Counter
+	ends          metric.Int64Counter
+	losses        metric.Int64Counter
+	waitTime      metric.Float64Histogram
+	served        metric.Int64Counter
+	machineOrders metric.Int64Counter
+	takeovers     metric.Int64Counter
+	labels        labelSets
 }
 
 // instrument is one entry of the table of metrics.
@@ -43,14 +43,14 @@
 		{"amberway.jobs.ends", "{run}", "ends of runs, by how", &s.ends},
 		{"amberway.jobs.losses", "{run}", "runs whose end no worker has told of, by how they were lost", &s.losses},
 		{"amberway.jobs.served", "{job}", "jobs that were done, by whether in time and the data centre that took them in", &s.served},
-		{"amberway.machines.orders", "{order}", "orders to machines, by outcome", &s.moves},
-		{"amberway.owner.tenures", "{tenure}", "times that this host took ownership over", &s.took},
+		{"amberway.machines.orders", "{order}", "orders to machines, by outcome", &s.machineOrders},
+		{"amberway.owner.tenures", "{tenure}", "times that this host took ownership over", &s.takeovers},
 	} {
 		if *i.counter, err = m.Int64Counter(i.name, metric.WithUnit(i.unit), metric.WithDescription(i.help)); err != nil {
 			return nil, fmt.Errorf("job: metric %s: %w", i.name, err)
 		}
 	}
-	s.started, err = m.Float64Histogram("amberway.jobs.wait", metric.WithUnit("s"),
+	s.waitTime, err = m.Float64Histogram("amberway.jobs.wait", metric.WithUnit("s"),
 		metric.WithDescription("time from a job's arrival, or its due time, to a start of one of its tasks"),
 		metric.WithExplicitBucketBoundaries(0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30))
 	if err != nil {
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// countTraffic shows what calls to the platform and to other entry hosts carry, by kind.
-func countTraffic(m metric.Meter, l []*common.Connections) error {
+// observeTraffic shows what calls to the platform and to other entry hosts carry, by kind.
+func observeTraffic(m metric.Meter, l []*common.Connections) error {
 	_, err := m.Int64ObservableCounter("amberway.jobs.bytes", metric.WithUnit("By"),
 		metric.WithDescription("bytes of calls with their headers, by kind and way"),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
-			for kind, c := range carried(l) {
+			for kind, c := range totalTraffic(l) {
 				k := attribute.String("kind", kind)
 				o.Observe(c.Sent, metric.WithAttributes(k, attribute.String("way", "sent")))
 				o.Observe(c.Received, metric.WithAttributes(k, attribute.String("way", "received")))
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// carried returns what the calls of all connections have carried, by kind.
-func carried(l []*common.Connections) map[string]common.Carried {
-	all := map[string]common.Carried{}
+// totalTraffic returns what the calls of all connections have carried, by kind.
+func totalTraffic(l []*common.Connections) map[string]common.TrafficCount {
+	all := map[string]common.TrafficCount{}
 	for _, o := range l {
 		for kind, c := range o.Traffic().Counts() {
 			a := all[kind]
@@ -108,14 +108,14 @@
 	return all
 }
 
-// outcome names what became of an order, in a fixed set of words.
-func outcome(rejection string, err error) string {
+// orderOutcome names what became of an order, in a fixed set of words.
+func orderOutcome(rejection string, err error) string {
 	switch {
 	case err == nil && rejection == "":
 		return "taken"
 	case err == nil:
 		return rejection
-	case errors.Is(err, platform.ErrOtherLife):
+	case errors.Is(err, platform.ErrOtherIncarnation):
 		return "other-life"
 	case errors.Is(err, platform.ErrNotSent):
 		return "not-reached"
@@ -129,35 +129,35 @@
 	return metric.WithAttributes(attribute.String(k, v))
 }
 
-func (s *metrics) order(kind, out string) {
+func (s *metrics) countOrder(kind, out string) {
 	s.orders.Add(context.Background(), 1, s.labels.of(labelOrder, kind, out)...)
 }
 
-// labels keeps the sets of labels that count thousands of times a second. Their number
+// labelSets keeps the sets of labels that count thousands of times a second. Their number
 // is bounded, as that of the words is. Making one for each count took 4 % of an owner's
 // processor time at 480 starts a second.
-type labels struct {
+type labelSets struct {
 	mu   sync.RWMutex
 	sets map[labelKey][]metric.AddOption
 }
 
 type labelKey struct {
-	form        labelForm
-	first, next string
+	kind          labelKind
+	first, second string
 }
 
-// labelForm says how the words of a key are named.
-type labelForm int
+// labelKind says how the words of a key are named.
+type labelKind int
 
 const (
-	labelOrder labelForm = iota
+	labelOrder labelKind = iota
 	labelEnd
 	labelServed
 )
 
 // of returns the set with the words.
-func (l *labels) of(form labelForm, first, next string) []metric.AddOption {
-	k := labelKey{form: form, first: first, next: next}
+func (l *labelSets) of(form labelKind, first, next string) []metric.AddOption {
+	k := labelKey{kind: form, first: first, second: next}
 	l.mu.RLock()
 	o, ok := l.sets[k]
 	l.mu.RUnlock()
@@ -175,32 +175,32 @@
 }
 
 func (k labelKey) attributes() []attribute.KeyValue {
-	switch k.form {
+	switch k.kind {
 	case labelEnd:
 		return []attribute.KeyValue{attribute.String("how", k.first)}
 	case labelServed:
-		return []attribute.KeyValue{attribute.String("in_time", k.first), attribute.String("data_centre", k.next)}
+		return []attribute.KeyValue{attribute.String("in_time", k.first), attribute.String("data_centre", k.second)}
 	case labelOrder:
 	}
-	return []attribute.KeyValue{attribute.String("kind", k.first), attribute.String("outcome", k.next)}
+	return []attribute.KeyValue{attribute.String("kind", k.first), attribute.String("outcome", k.second)}
 }
 
-// note counts what the owner's decisions say of ends and starts.
-func (s *metrics) note(n Note) {
+// record counts what the owner's decisions say of ends and starts.
+func (s *metrics) record(n LogLine) {
 	switch n.What {
 	case "end":
 		s.ends.Add(context.Background(), 1, s.labels.of(labelEnd, n.Why, "")...)
-	case noteServed:
-		if in, ok := n.Inputs[1].(bool); ok {
-			s.served.Add(context.Background(), 1, s.labels.of(labelServed, strconv.FormatBool(in), fmt.Sprint(n.Inputs[3]))...)
+	case whatJobServed:
+		if in, ok := n.Fields[1].(bool); ok {
+			s.served.Add(context.Background(), 1, s.labels.of(labelServed, strconv.FormatBool(in), fmt.Sprint(n.Fields[3]))...)
 		}
 	case "run gone":
-		if how, ok := n.Inputs[1].(string); ok {
+		if how, ok := n.Fields[1].(string); ok {
 			s.losses.Add(context.Background(), 1, label("how", how))
 		}
 	case "start":
-		if ms, ok := n.Inputs[1].(int64); ok {
-			s.started.Record(context.Background(), float64(ms)/1000)
+		if ms, ok := n.Fields[1].(int64); ok {
+			s.waitTime.Record(context.Background(), float64(ms)/1000)
 		}
 	}
 }
--- a/job/node.go
+++ b/job/node.go
@@ -13,9 +13,9 @@
 	"amberway/platform"
 )
 
-// readyWithout is how long a node stays ready without answers of the store. A
+// maxStoreSilence is how long a node stays ready without answers of the store. A
 // watch answers well within it, also where its connection has gone silent.
-const readyWithout = 3 * time.Second
+const maxStoreSilence = 3 * time.Second
 
 // Settings are what a node is told at its start.
 type Settings struct {
@@ -40,45 +40,45 @@
 // and owns them all when it is its turn.
 type Node struct {
 	Clients
-	settings   Settings
-	log        *Journal
-	now        func() time.Time
-	routes     atomic.Pointer[routes]
-	election   *election
-	intake     *intake
-	speed      *speedometer
-	metrics    *metrics
-	exposed    http.Handler
-	peers      *peers
-	leaving    atomic.Bool
-	authorizer authorizer
-	// heardAt is when the store last answered, currentAt when the configuration was last
+	settings       Settings
+	log            *Logger
+	now            func() time.Time
+	routes         atomic.Pointer[routes]
+	election       *election
+	intake         *intake
+	speed          *speedMonitor
+	metrics        *metrics
+	metricsHandler http.Handler
+	peers          *peers
+	leaving        atomic.Bool
+	authorizer     authorizer
+	// storeAnsweredAt is when the store last answered, currentAt when the configuration was last
 	// known to be the newest, by the store or by another entry host.
-	heardAt, currentAt common.Instant
-	// away says that the store has just not told of the configuration.
-	away     chan struct{}
-	refusals *refusals
-	mu       sync.Mutex
-	owner    *owner
-	resign   context.CancelFunc
+	storeAnsweredAt, configCurrentAt common.Instant
+	// configMissed says that the store has just not told of the configuration.
+	configMissed chan struct{}
+	refusals     *refusals
+	mu           sync.Mutex
+	owner        *owner
+	resign       context.CancelFunc
 }
 
 // NewNode returns a node that has not started yet. It serves its metrics by the
 // handler.
-func NewNode(s Settings, p Clients, log *Journal, d common.Deps, exposed http.Handler) (*Node, error) {
+func NewNode(s Settings, p Clients, log *Logger, d common.Deps, exposed http.Handler) (*Node, error) {
 	now := d.Now
 	if s.ConfigWithin == 0 {
 		s.ConfigWithin = DefaultConfigWithin
 	}
-	n := &Node{Clients: p, settings: s, log: log, now: now, peers: newPeers(), away: make(chan struct{}, 1), refusals: newRefusals()}
-	n.authorizer = authorizer{needed: s.KeysWithin > 0, keysWithin: s.KeysWithin, newWithin: s.ConfigWithin}
+	n := &Node{Clients: p, settings: s, log: log, now: now, peers: newPeers(), configMissed: make(chan struct{}, 1), refusals: newRefusals()}
+	n.authorizer = authorizer{required: s.KeysWithin > 0, keysWithin: s.KeysWithin, newKeysWithin: s.ConfigWithin}
 	n.election = newElection(p.KV, Owner{Name: s.Name, Peer: s.Peer}, s.Size, log, now, d.Suspended)
 	n.intake = newIntake(p.KV, log, now)
-	n.speed = newSpeedometer(now)
-	n.exposed = exposed
-	conns := append(p.connections(), n.peers.x.Connections())
+	n.speed = newSpeedMonitor(now)
+	n.metricsHandler = exposed
+	conns := append(p.connections(), n.peers.exchange.Connections())
 	common.Join(conns...)
-	if err := countTraffic(d.Meter, conns); err != nil {
+	if err := observeTraffic(d.Meter, conns); err != nil {
 		return nil, err
 	}
 	var err error
@@ -89,7 +89,7 @@
 // Run works until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){n.followOperator, n.askForConfig, n.election.follow, n.intake.run, n.own} {
+	for _, f := range []func(context.Context){n.followOperator, n.followOwnerConfig, n.election.follow, n.intake.run, n.ownWhenVacant} {
 		wg.Go(func() { f(ctx) })
 	}
 	wg.Wait()
@@ -97,7 +97,7 @@
 
 // Callers serves callers' requests.
 func (n *Node) Callers() http.Handler {
-	return front{node: n}
+	return callerHandler{node: n}
 }
 
 // Peers serves other entry hosts.
@@ -110,13 +110,13 @@
 	if n.leaving.Load() || n.routes.Load() == nil {
 		return false
 	}
-	return n.now().Sub(n.heardAt.Get()) < readyWithout
+	return n.now().Sub(n.storeAnsweredAt.Get()) < maxStoreSilence
 }
 
 // Leave hands ownership on and has callers sent elsewhere.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
-	n.election.retire()
+	n.election.withdraw()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.resign != nil {
@@ -129,22 +129,22 @@
 func (n *Node) followOperator(ctx context.Context) {
 	take := func(e platform.Entry) {
 		if e.Key == platform.ConfigKey {
-			n.takeConfig(e.Value)
+			n.applyConfig(e.Value)
 		} else {
-			n.takeWave(e)
+			n.applyWave(e)
 		}
 	}
-	f := &follower{kv: n.KV, prefix: platform.OperatorPrefix, watchTimes: configWatch(n.settings.ConfigWithin), newest: true, log: n.log}
-	f.heard = func(err error) {
+	f := &follower{kv: n.KV, prefix: platform.OperatorPrefix, watchTimes: configWatch(n.settings.ConfigWithin), newestOnly: true, log: n.log}
+	f.onAnswer = func(err error) {
 		n.speed.sample()
-		n.noteHeard(err)
+		n.noteAnswer(err)
 	}
-	f.listed = func(l []platform.Entry) {
+	f.onList = func(l []platform.Entry) {
 		for _, e := range l {
 			take(e)
 		}
 	}
-	f.changed = func(l []platform.Event) {
+	f.onChange = func(l []platform.Event) {
 		for _, e := range l {
 			if !e.Deleted {
 				take(e.Entry)
@@ -154,44 +154,44 @@
 	f.run(ctx)
 }
 
-// noteHeard notes whether the store has told of the configuration.
-func (n *Node) noteHeard(err error) {
+// noteAnswer notes whether the store has told of the configuration.
+func (n *Node) noteAnswer(err error) {
 	now := n.now()
 	switch {
 	case err == nil:
-		n.heardAt.Set(now)
-		n.currentAt.Advance(now)
+		n.storeAnsweredAt.Set(now)
+		n.configCurrentAt.Advance(now)
 	case errors.Is(err, platform.ErrCompacted):
 		// The store answers, and the list that follows tells what has changed.
-		n.heardAt.Set(now)
+		n.storeAnsweredAt.Set(now)
 	default:
 		select {
-		case n.away <- struct{}{}:
+		case n.configMissed <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// takeConfig puts a configuration in force, as the operator wrote it, unless it is older
+// applyConfig puts a configuration in force, as the operator wrote it, unless it is older
 // than the one that is.
-func (n *Node) takeConfig(written []byte) {
+func (n *Node) applyConfig(written []byte) {
 	d, err := platform.DecodeConfig(written)
 	if err != nil {
-		n.log.Write(Note{What: "configuration not understood", Why: err.Error()})
+		n.log.Write(LogLine{What: "configuration not understood", Why: err.Error()})
 		return
 	}
 	r := newRoutes(d)
 	r.written = written
-	if !n.putInForce(r) {
+	if !n.swapRoutes(r) {
 		return
 	}
-	n.log.Write(Note{What: "configuration", Inputs: []any{"version", d.Version, "queues", len(d.Queues), "teams", len(d.Teams), "keys", len(r.keys)}})
-	n.tellOwner(ConfigTaken{Config: d})
+	n.log.Write(LogLine{What: "configuration", Fields: []any{"version", d.Version, "queues", len(d.Queues), "teams", len(d.Teams), "keys", len(r.keys)}})
+	n.tellOwner(ConfigChanged{Config: d})
 }
 
-// putInForce reports false where a configuration as new is in force: two come at once,
+// swapRoutes reports false where a configuration as new is in force: two come at once,
 // from the store and from another entry host.
-func (n *Node) putInForce(r *routes) bool {
+func (n *Node) swapRoutes(r *routes) bool {
 	for {
 		o := n.routes.Load()
 		if o != nil && o.config.Version >= r.config.Version {
@@ -203,43 +203,43 @@
 	}
 }
 
-func (n *Node) takeWave(e platform.Entry) {
+func (n *Node) applyWave(e platform.Entry) {
 	if len(e.Key) <= len(platform.WavePrefix) || e.Key[:len(platform.WavePrefix)] != platform.WavePrefix {
 		return
 	}
 	w, err := platform.DecodeWave(e)
 	if err != nil {
-		n.log.Write(Note{What: "wave not understood", Why: err.Error()})
+		n.log.Write(LogLine{What: "wave not understood", Why: err.Error()})
 		return
 	}
-	n.tellOwner(WaveAsked{Wave: w})
+	n.tellOwner(WaveRequested{Wave: w})
 }
 
 func (n *Node) tellOwner(e Event) {
-	if o := n.owned(); o != nil {
+	if o := n.localOwner(); o != nil {
 		o.post(e)
 	}
 }
 
-// own claims ownership whenever nobody has it, and owns while it can.
-func (n *Node) own(ctx context.Context) {
+// ownWhenVacant claims ownership whenever nobody has it, and owns while it can.
+func (n *Node) ownWhenVacant(ctx context.Context) {
 	for ctx.Err() == nil && !n.leaving.Load() {
-		t, ok := n.election.wait(ctx)
+		t, ok := n.election.campaign(ctx)
 		if !ok {
 			return
 		}
-		n.serveTenure(ctx, t)
+		n.runTenure(ctx, t)
 	}
 }
 
-func (n *Node) serveTenure(ctx context.Context, t tenure) {
+func (n *Node) runTenure(ctx context.Context, t tenure) {
 	own, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o := newOwner(n.Clients, n.log, n.now, n.election.suspended, n.settings, t, n.speed, n.metrics)
 	n.mu.Lock()
 	n.owner, n.resign = o, cancel
 	n.mu.Unlock()
-	n.metrics.took.Add(ctx, 1)
+	n.metrics.takeovers.Add(ctx, 1)
 	var d *platform.Deployed
 	if r := n.routes.Load(); r != nil {
 		d = r.config
@@ -248,15 +248,15 @@
 	n.mu.Lock()
 	n.owner, n.resign = nil, nil
 	n.mu.Unlock()
-	n.log.Write(Note{What: "ownership ended", Why: why, Inputs: []any{"fence", int64(t.fence)}})
+	n.log.Write(LogLine{What: "ownership ended", Why: why, Fields: []any{"fence", int64(t.fence)}})
 	if why == whyCutOff || why == whySlow {
 		n.election.abstain()
 	}
-	go n.election.endLease(ctx, t.lease)
+	go n.election.revokeLease(ctx, t.lease)
 }
 
-// owned returns the owner that runs here, or nil.
-func (n *Node) owned() *owner {
+// localOwner returns the owner that runs here, or nil.
+func (n *Node) localOwner() *owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owner
--- a/job/node_test.go
+++ b/job/node_test.go
@@ -17,20 +17,20 @@
 	return n
 }
 
-func TestOwnerThatIsStillReadingTellsNoCount(t *testing.T) {
+func TestLoadingOwnerReportsNoCount(t *testing.T) {
 	s := newStoreFixture(t)
 	n := newTestNode(t, s)
 	n.owner = s.claim(t, "entry")
-	_, owns := n.ownWaiting("quick")
+	_, owns := n.localWaiting("quick")
 	require.False(t, owns)
-	_, _, owns = n.ownState(idA)
+	_, _, owns = n.localState(idA)
 	require.False(t, owns)
-	n.owner.core.Step(time.Now(), Batch{Inherited{Config: testConfig()}, loadedAll{n.owner}})
-	_, owns = n.ownWaiting("quick")
+	n.owner.core.Step(time.Now(), Batch{Inherited{Config: testConfig()}, loadDone{n.owner}})
+	_, owns = n.localWaiting("quick")
 	require.True(t, owns)
 }
 
-func TestRequestsWithoutConfigurationAreRefusedWithATime(t *testing.T) {
+func TestRequestsWithoutConfigurationGetRetryAfter(t *testing.T) {
 	n := newTestNode(t, newStoreFixture(t))
 	w := httptest.NewRecorder()
 	n.Callers().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "http://h/q/"+idA, nil))
--- a/job/order_budget.go
+++ b/job/order_budget.go
@@ -24,7 +24,7 @@
 
 // orderBudget says how many orders to machines may be given now.
 type orderBudget struct {
-	bucket
+	tokenBucket
 	perSecond float64
 	// pausedUntil is when orders may go out again after a refusal.
 	pausedUntil time.Time
@@ -35,37 +35,37 @@
 		perSecond = defaultOrderRate
 	}
 	b := orderBudget{perSecond: perSecond}
-	b.bucket = bucket{left: b.most(), at: now}
+	b.tokenBucket = tokenBucket{tokens: b.burst(), filledAt: now}
 	return b
 }
 
-// most is what can be saved up, one order at least.
-func (b *orderBudget) most() float64 {
+// burst is what can be saved up, one order at least.
+func (b *orderBudget) burst() float64 {
 	return max(1, b.perSecond*ordersBurst.Seconds())
 }
 
-// may reports whether an order may be given that leaves a part of what can be saved up.
-func (b *orderBudget) may(now time.Time, reserve float64) bool {
-	b.fill(now, b.perSecond, b.most())
-	return !now.Before(b.pausedUntil) && b.left-1 >= reserve*b.most()
+// allows reports whether an order may be given that leaves a part of what can be saved up.
+func (b *orderBudget) allows(now time.Time, reserve float64) bool {
+	b.refill(now, b.perSecond, b.burst())
+	return !now.Before(b.pausedUntil) && b.tokens-1 >= reserve*b.burst()
 }
 
 // spend counts an order.
 func (b *orderBudget) spend() {
-	b.left--
+	b.tokens--
 }
 
-// refused notes that the platform takes no more orders at the moment.
-func (b *orderBudget) refused(now time.Time) {
+// pause notes that the platform takes no more orders at the moment.
+func (b *orderBudget) pause(now time.Time) {
 	b.pausedUntil = now.Add(refusedOrderPause)
 }
 
 // mayOrder reports whether a machine that is needed may be ordered now.
 func (c *Core) mayOrder() bool {
-	return c.budget.may(c.now, 0)
+	return c.orderBudget.allows(c.now, 0)
 }
 
-// mayGiveBack reports whether a machine that is not needed may be ordered now.
-func (c *Core) mayGiveBack() bool {
-	return c.budget.may(c.now, orderReserve)
+// mayRelease reports whether a machine that is not needed may be ordered now.
+func (c *Core) mayRelease() bool {
+	return c.orderBudget.allows(c.now, orderReserve)
 }
--- a/job/owner.go
+++ b/job/owner.go
@@ -25,10 +25,10 @@
 	// the answers that a full link held up for silence: each of them cost a new
 	// connection, which waited behind as much.
 	renewTimeout = 4 * ownerTTL / 5
-	// mostSuspended is how long an owner's host may have been suspended in all: what is
+	// maxSuspended is how long an owner's host may have been suspended in all: what is
 	// given on workers' leases by a clock that is so far behind is within the half second
 	// that inheritedLease bears.
-	mostSuspended = 300 * time.Millisecond
+	maxSuspended = 300 * time.Millisecond
 	// maxBatch is the most events that are taken in before tasks are placed.
 	maxBatch = 256
 	// stepEvery is the least time between two steps. Events that come closer
@@ -69,27 +69,27 @@
 // owner runs a Core: it feeds it events and does what it says.
 type owner struct {
 	Clients
-	log *Journal
+	log *Logger
 	now func() time.Time
 	// suspended tells for how long the host has been suspended so far.
 	suspended func() time.Duration
 	events    chan Event
 	tenure    tenure
-	// link is what the host's link carries, in megabits a second; zero is not known.
-	link    float64
-	keeper  keeper
-	speed   *speedometer
-	metrics *metrics
+	// linkMbps is what the host's link carries, in megabits a second; zero is not known.
+	linkMbps float64
+	writer   storeWriter
+	speed    *speedMonitor
+	metrics  *metrics
 	// mu guards core, which callers' questions read.
 	mu   sync.Mutex
 	core *Core
 	// loaded says that core holds what the owner took over.
 	loaded atomic.Bool
 	// renewedAt is when the last renewal was sent that the store has answered.
-	renewedAt common.Instant
-	end       context.CancelFunc
-	endOnce   sync.Once
-	why       string
+	renewedAt    common.Instant
+	cancel       context.CancelFunc
+	resignOnce   sync.Once
+	resignReason string
 }
 
 // tenure is one ownership.
@@ -101,7 +101,7 @@
 	suspended time.Duration
 }
 
-func newOwner(p Clients, log *Journal, now func() time.Time, suspended func() time.Duration, s Settings, t tenure, speed *speedometer, m *metrics) *owner {
+func newOwner(p Clients, log *Logger, now func() time.Time, suspended func() time.Duration, s Settings, t tenure, speed *speedMonitor, m *metrics) *owner {
 	o := &owner{
 		Clients:   p,
 		log:       log,
@@ -109,11 +109,11 @@
 		suspended: suspended,
 		events:    make(chan Event, eventBuffer),
 		tenure:    t,
-		link:      s.Link,
-		keeper:    keeper{kv: p.KV, fence: t.fence},
+		linkMbps:  s.LinkMbps,
+		writer:    storeWriter{kv: p.KV, fence: t.fence},
 		speed:     speed,
 		metrics:   m,
-		core:      New(t.fence, s.Name, s.Size, now()),
+		core:      NewCore(t.fence, s.Name, s.Size, now()),
 	}
 	o.renewedAt.Set(t.since)
 	return o
@@ -121,42 +121,42 @@
 
 // run owns until the ownership ends, and returns why it did.
 func (o *owner) run(ctx context.Context, config *platform.Deployed) string {
-	ctx, o.end = context.WithCancel(ctx)
-	defer o.end()
+	ctx, o.cancel = context.WithCancel(ctx)
+	defer o.cancel()
 	go o.renew(ctx)
-	inherited, from, err := o.loadAtLast(ctx, config)
+	inherited, from, err := o.loadWithRetry(ctx, config)
 	if err != nil {
 		return "cannot read what to take over: " + err.Error()
 	}
-	o.log.Write(Note{What: "takes over", Inputs: []any{
+	o.log.Write(LogLine{What: "takes over", Fields: []any{
 		"fence", int64(o.tenure.fence), "jobs", len(inherited.Jobs), "workers", len(inherited.Workers),
 		"took_ms", o.now().Sub(o.tenure.since).Milliseconds(),
 	}})
 	o.post(inherited)
-	o.post(loadedAll{o})
+	o.post(loadDone{o})
 	go o.followJobs(ctx, from.jobs)
 	go o.followWorkers(ctx, from.workers)
 	o.loop(ctx)
-	if o.why == "" {
+	if o.resignReason == "" {
 		return "stopping"
 	}
-	return o.why
+	return o.resignReason
 }
 
-// loadedAll follows what an owner takes over, and opens it to questions.
-type loadedAll struct {
+// loadDone follows what an owner takes over, and opens it to questions.
+type loadDone struct {
 	o *owner
 }
 
-func (e loadedAll) apply(*Core) {
+func (e loadDone) apply(*Core) {
 	e.o.loaded.Store(true)
 }
 
 // resign ends the ownership.
 func (o *owner) resign(why string) {
-	o.endOnce.Do(func() {
-		o.why = why
-		o.end()
+	o.resignOnce.Do(func() {
+		o.resignReason = why
+		o.cancel()
 	})
 }
 
@@ -221,10 +221,10 @@
 // process or of its host; nothing while the owner may go on.
 func (o *owner) lostAuthority() string {
 	switch {
-	case o.suspendedFor() > mostSuspended:
+	case o.suspendedFor() > maxSuspended:
 		return whySuspended
 	case o.sinceRenewal() > ownerAuthority:
-		return whyAway
+		return whyStoreUnreachable
 	}
 	return ""
 }
@@ -244,8 +244,8 @@
 // which its own lease, and those of workers, are judged stood still.
 const whySuspended = "this host was suspended"
 
-// whyAway is the reason of an owner that the store has not answered in time.
-const whyAway = "the store has been away for too long"
+// whyStoreUnreachable is the reason of an owner that the store has not answered in time.
+const whyStoreUnreachable = "the store has been away for too long"
 
 // renew keeps the owner's lease, and ends the ownership when it is over or when
 // the store has been away for too long.
@@ -278,9 +278,9 @@
 		o.resign("its lease is over")
 	case err == nil:
 		o.renewedAt.Advance(sent)
-		o.send(ctx, Renewed{SentAt: sent})
+		o.send(ctx, LeaseRenewed{SentAt: sent})
 	default:
-		o.log.Write(Note{What: "lease not renewed", Why: err.Error(), Inputs: []any{"age_ms", o.sinceRenewal().Milliseconds()}})
+		o.log.Write(LogLine{What: "lease not renewed", Why: err.Error(), Fields: []any{"age_ms", o.sinceRenewal().Milliseconds()}})
 	}
 }
 
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	m, err := newMetrics(common.Quiet().Meter, func() (float64, bool) { return 0, false })
 	require.NoError(t, err)
-	return newOwner(Clients{KV: s.kv}, nil, time.Now, neverSuspended, Settings{Name: name}, n, newSpeedometer(time.Now), m)
+	return newOwner(Clients{KV: s.kv}, nil, time.Now, neverSuspended, Settings{Name: name}, n, newSpeedMonitor(time.Now), m)
 }
 
 func fixtureSubmission() platform.Submission {
@@ -48,21 +48,21 @@
 
 func (s storeFixture) putJob(t *testing.T, id ID) {
 	r := NewRecord(testConfig().Queues[0], fixtureSubmission(), time.Now())
-	require.NoError(t, s.Put(newKey(id), r))
+	require.NoError(t, s.Put(recordKey(id), r))
 }
 
 // accepted returns the jobs among the events that wait.
 func (o *owner) accepted() []ID {
 	var l []ID
 	for len(o.events) > 0 {
-		if e, ok := (<-o.events).(Accepted); ok {
+		if e, ok := (<-o.events).(JobAccepted); ok {
 			l = append(l, e.ID)
 		}
 	}
 	return l
 }
 
-func TestReplacedOwnerSeesNoJobThatCameAfterItsSuccessor(t *testing.T) {
+func TestReplacedOwnerSeesNoJobAddedAfterItsSuccessor(t *testing.T) {
 	s := newStoreFixture(t)
 	old := s.claim(t, "old")
 	s.putJob(t, idA)
@@ -71,15 +71,15 @@
 	s.putJob(t, idB)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	ctx, old.end = context.WithCancel(ctx)
+	ctx, old.cancel = context.WithCancel(ctx)
 	old.followJobs(ctx, platform.Revision(old.tenure.fence))
-	require.Equal(t, errDeposed.Error(), old.why)
+	require.Equal(t, errDeposed.Error(), old.resignReason)
 	require.Equal(t, []ID{idA}, old.accepted())
 }
 
 // A watch that the store has cut without a word holds jobs back for a second, not
 // for as long as calls to the store may take.
-func TestOwnerHearsOfJobsSoonAfterAMuteWatch(t *testing.T) {
+func TestOwnerLearnsOfJobsSoonAfterASilentWatch(t *testing.T) {
 	s := newStoreFixture(t)
 	o := s.claim(t, "owner")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -91,7 +91,7 @@
 	s.putJob(t, idA)
 	select {
 	case e := <-o.events:
-		a, ok := e.(Accepted)
+		a, ok := e.(JobAccepted)
 		require.True(t, ok, "%T", e)
 		require.Equal(t, ID(idA), a.ID)
 	case <-time.After(1500 * time.Millisecond):
@@ -100,7 +100,7 @@
 }
 
 // What is to be taken over is read at once: each answer of a slow store takes long.
-func TestTakeoverFromASlowStoreTakesAFewAnswers(t *testing.T) {
+func TestTakeoverFromASlowStoreTakesFewRoundTrips(t *testing.T) {
 	s := newStoreFixture(t)
 	s.putJob(t, idA)
 	require.NoError(t, s.Put("op/wave/3", map[string]any{"wave": 3, "machines": []string{"m"}, "within_s": 9, "cap": 1}))
@@ -115,7 +115,7 @@
 	require.Less(t, time.Since(begun), 5*answer, "reads after each other: at most two and the last one's check")
 }
 
-func TestReplacedOwnerThatListsAnewSeesNoJob(t *testing.T) {
+func TestReplacedOwnerThatRelistsSeesNoJob(t *testing.T) {
 	s := newStoreFixture(t)
 	old := s.claim(t, "old")
 	s.Remove(ownerKey)
@@ -124,7 +124,7 @@
 	s.Forget()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	ctx, old.end = context.WithCancel(ctx)
+	ctx, old.cancel = context.WithCancel(ctx)
 	old.followJobs(ctx, platform.Revision(old.tenure.fence))
 	require.Empty(t, old.accepted())
 }
@@ -134,7 +134,7 @@
 	old := s.claim(t, "old")
 	s.Remove(ownerKey)
 	s.claim(t, "new")
-	err := old.keeper.keep(t.Context(), Keep{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("1")}}}, func() {})
+	err := old.writer.write(t.Context(), WriteStore{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("1")}}}, func() {})
 	require.ErrorIs(t, err, errDeposed)
 	_, there := s.Value("progress/x")
 	require.False(t, there)
@@ -145,21 +145,21 @@
 	o := s.claim(t, "owner")
 	s.SetFault(fleet.Fault{Lose: true})
 	slow := 0
-	err := o.keeper.keep(t.Context(), Keep{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("1")}}}, func() {
+	err := o.writer.write(t.Context(), WriteStore{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("1")}}}, func() {
 		slow++
 		s.SetFault(fleet.Fault{})
 	})
 	require.NoError(t, err)
 	require.Equal(t, 1, slow)
-	require.NoError(t, o.keeper.keep(t.Context(), Keep{Number: 2}, func() {}), "the next write follows the one that was done")
+	require.NoError(t, o.writer.write(t.Context(), WriteStore{Number: 2}, func() {}), "the next write follows the one that was done")
 }
 
-func TestLateWriteOfAnOwnerMeetsItsCondition(t *testing.T) {
+func TestLateWriteOfAnOwnerFailsItsGuard(t *testing.T) {
 	s := newStoreFixture(t)
 	o := s.claim(t, "owner")
-	late := o.keeper
-	require.NoError(t, o.keeper.keep(t.Context(), Keep{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("new")}}}, func() {}))
-	err := late.keep(t.Context(), Keep{Number: 0, Puts: []platform.Put{{Key: "progress/x", Value: []byte("old")}}}, func() {})
+	late := o.writer
+	require.NoError(t, o.writer.write(t.Context(), WriteStore{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("new")}}}, func() {}))
+	err := late.write(t.Context(), WriteStore{Number: 0, Puts: []platform.Put{{Key: "progress/x", Value: []byte("old")}}}, func() {})
 	require.Error(t, err)
 	v, _ := s.Value("progress/x")
 	require.Equal(t, `new`, string(v))
@@ -168,17 +168,17 @@
 func TestStoppingHostClaimsNothing(t *testing.T) {
 	s := newStoreFixture(t)
 	e := newElection(s.kv, Owner{Name: "stopping"}, Size{Cores: 1}, nil, time.Now, neverSuspended)
-	e.retire()
-	e.set(Owner{})
+	e.withdraw()
+	e.setOwner(Owner{})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	_, ok := e.wait(ctx)
+	_, ok := e.campaign(ctx)
 	require.False(t, ok)
 	_, there := s.Value(ownerKey)
 	require.False(t, there)
 }
 
-func TestOwnerThatWakesFromALongPauseSendsNothing(t *testing.T) {
+func TestOwnerSendsNothingAfterALongPause(t *testing.T) {
 	s := newStoreFixture(t)
 	o := s.claim(t, "owner")
 	now := time.Now()
@@ -186,10 +186,10 @@
 	o.renewedAt.Set(now.Add(-ownerAuthority - time.Second))
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	ctx, o.end = context.WithCancel(ctx)
+	ctx, o.cancel = context.WithCancel(ctx)
 	o.post(WorkerListed{Worker: testWorker("w1")})
 	o.loop(ctx)
-	require.Equal(t, whyAway, o.why)
+	require.Equal(t, whyStoreUnreachable, o.resignReason)
 	require.Empty(t, o.events, "a look was sent and has failed")
 }
 
@@ -199,18 +199,18 @@
 	e := newElection(s.kv, Owner{Name: name}, z, nil, time.Now, neverSuspended)
 	go e.follow(t.Context())
 	go func() {
-		if _, ok := e.wait(t.Context()); ok {
+		if _, ok := e.campaign(t.Context()); ok {
 			won <- name
 		}
 	}()
 }
 
 func TestSmallHostLeavesOwnershipToALargerOne(t *testing.T) {
-	large := Size{Cores: 0.8, Link: 200, Memory: 536}
+	large := Size{Cores: 0.8, LinkMbps: 200, MemoryMB: 536}
 	for name, small := range map[string]Size{
-		"cores":  {Cores: 0.1, Link: 200, Memory: 536},
-		"link":   {Cores: 0.8, Link: 2, Memory: 536},
-		"memory": {Cores: 0.8, Link: 200, Memory: 40},
+		"cores":  {Cores: 0.1, LinkMbps: 200, MemoryMB: 536},
+		"link":   {Cores: 0.8, LinkMbps: 2, MemoryMB: 536},
+		"memory": {Cores: 0.8, LinkMbps: 200, MemoryMB: 40},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStoreFixture(t)
@@ -227,29 +227,29 @@
 func TestHostOfUnknownLinkClaimsByItsCores(t *testing.T) {
 	require.InDelta(t, 1, Size{Cores: 0.4}.fitness(), 0)
 	require.InDelta(t, 0.5, Size{Cores: 0.2}.fitness(), 1e-9)
-	require.InDelta(t, 0.5, Size{Cores: 1, Link: 6}.fitness(), 1e-9)
+	require.InDelta(t, 0.5, Size{Cores: 1, LinkMbps: 6}.fitness(), 1e-9)
 }
 
-func TestSmallHostOwnsWhereNoLargerOneLives(t *testing.T) {
+func TestSmallHostOwnsIfThereIsNoLargerOne(t *testing.T) {
 	s := newStoreFixture(t)
 	won := make(chan string, 1)
 	s.campaign(t, "small", Size{Cores: 0.1}, won)
 	select {
 	case n := <-won:
 		require.Equal(t, "small", n)
-	case <-time.After(smallWaits + 5*time.Second):
+	case <-time.After(smallHostDelay + 5*time.Second):
 		t.Fatal("nobody owns")
 	}
 }
 
-// TestCancelThatComesWhileAnOwnerReadsIsHeardBeforeItStarts tells how tasks of a cancelled job
+// TestCancelDuringATakeoverIsSeenBeforeTasksStart tells how tasks of a cancelled job
 // were started 7.6 s after the cancel was acknowledged. An owner behind a narrow link read what
 // it took over for 7.7 s, one list after the other, the jobs first: "takes over", "took_ms":
 // 7717. The job was in the list, its mark came after it had been read. The owner started the
 // tasks 0.7 s after it had read all, before its watch had brought what came meanwhile.
 //
 // The mark is set here as the owner asks for the list that follows the jobs'.
-func TestCancelThatComesWhileAnOwnerReadsIsHeardBeforeItStarts(t *testing.T) {
+func TestCancelDuringATakeoverIsSeenBeforeTasksStart(t *testing.T) {
 	s := fleet.NewStore()
 	f := storeFixture{Store: s}
 	stored := s.Handler()
@@ -264,14 +264,14 @@
 	f.kv = platform.NewKV(netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://")), &platform.Calls{})
 	f.putJob(t, idA)
 	o := f.claim(t, "owner")
-	o.link = narrow
+	o.linkMbps = narrowLinkMbps
 	e, from, err := o.load(t.Context(), nil)
 	require.NoError(t, err)
 	require.Equal(t, []ID{idA}, e.Cancels)
 	require.Equal(t, []ID{idA, idB}, []ID{e.Jobs[0].ID, e.Jobs[1].ID})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	ctx, o.end = context.WithCancel(ctx)
+	ctx, o.cancel = context.WithCancel(ctx)
 	o.followJobs(ctx, from.jobs)
 	require.Empty(t, o.accepted(), "what was read is not read again")
 }
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -29,7 +29,7 @@
 	f := newFixture(t)
 	f.join("w1")
 	fills, serves := oneTask(), oneTask()
-	fills.Fills = true
+	fills.BestEffort = true
 	serves.Lasting, serves.TailTarget = true, tailTarget
 	f.submit(idA, "quick", fills)
 	f.submit(idB, "quick", serves)
@@ -58,7 +58,7 @@
 		if !s.gone {
 			running = append(running, platform.RunningRow{Task: s.serves.Order.Task, Run: s.serves.Order.Run, Percent: 100, Level: tail * float64(tailTarget.Milliseconds())})
 		}
-		s.answer("w1", platform.Look{Running: running})
+		s.answer("w1", platform.PollReply{Running: running})
 	}
 }
 
@@ -79,7 +79,7 @@
 
 // unanswered tells the owner that its last order to pace the filling task was not answered.
 func (s *shared) unanswered() {
-	s.step(Paced{Worker: "w1", Task: s.fills.Order.Task, Run: s.fills.Order.Run, Err: common.ErrUnknown})
+	s.step(PaceResult{Worker: "w1", Task: s.fills.Order.Task, Run: s.fills.Order.Run, Err: common.ErrUnknown})
 }
 
 // A filling task went on at three quarters of its pace, or at none, until it ended: the
@@ -96,7 +96,7 @@
 }
 
 // An order that was not answered may be carried out seconds later, after newer ones.
-func TestPaceIsOrderedOnceMoreWhenNoEarlierOneCanComeLate(t *testing.T) {
+func TestPaceIsOrderedAgainOnceNoEarlierOrderCanArrive(t *testing.T) {
 	s := newShared(t)
 	s.look(time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
@@ -105,9 +105,9 @@
 	require.Equal(t, []int{0}, s.paces())
 	s.look(4*time.Second, 0.1)
 	require.Equal(t, []int{25, 50, 75, 100}, s.paces())
-	s.look(lateOrders, 0.1)
+	s.look(maxOrderDelay, 0.1)
 	require.Equal(t, []int{100}, s.paces())
-	s.look(lateOrders, 0.1)
+	s.look(maxOrderDelay, 0.1)
 	require.Empty(t, s.paces())
 }
 
@@ -117,8 +117,8 @@
 	s := newShared(t)
 	s.look(time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
-	s.step(CancelAsked{ID: idB})
-	s.step(Stopped{Worker: "w1", Task: s.serves.Order.Task, Run: s.serves.Order.Run, Clock: s.clock})
+	s.step(CancelRequested{ID: idB})
+	s.step(StopResult{Worker: "w1", Task: s.serves.Order.Task, Run: s.serves.Order.Run, Clock: s.clock})
 	s.gone = true
 	s.look(4*time.Second, 0)
 	require.Equal(t, []int{25, 50, 75, 100}, s.paces())
@@ -134,9 +134,9 @@
 	require.Equal(t, []int{0}, s.paces())
 
 	next := &shared{fixture: newOwnerFixture(t, 2000), fills: s.fills, serves: s.serves}
-	var jobs []Accepted
+	var jobs []JobAccepted
 	for _, id := range []ID{idA, idB} {
-		jobs = append(jobs, Accepted{ID: id, Record: s.core.jobs[id].Record, Created: 50})
+		jobs = append(jobs, JobAccepted{ID: id, Record: s.core.jobs[id].Record, Created: 50})
 	}
 	next.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: jobs, Roster: s.roster()})
 	next.look(2*time.Second, 0.1)
--- a/job/peer.go
+++ b/job/peer.go
@@ -34,11 +34,11 @@
 
 // peers asks other entry hosts.
 type peers struct {
-	x common.Exchange
+	exchange common.Exchange
 }
 
 func newPeers() *peers {
-	return &peers{x: common.NewExchange(common.Limits{PerAddress: peerConns})}
+	return &peers{exchange: common.NewExchange(common.Limits{PerAddress: peerConns})}
 }
 
 // ask puts one question to the owner, again on a new connection where a kept one is
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	q := common.Request{Method: http.MethodGet, At: o.Peer, Path: path}
-	return p.x.Repeat(ctx, q, q)
+	return p.exchange.Repeat(ctx, q, q)
 }
 
 // state asks the owner for a job's state.
@@ -80,7 +80,7 @@
 func (p *peers) accept(ctx context.Context, at netip.AddrPort, id ID, r Record) (common.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	a, err := p.x.Call(ctx, common.Request{Method: http.MethodPost, At: at, Path: "/jobs/" + string(id), Body: r})
+	a, err := p.exchange.Call(ctx, common.Request{Method: http.MethodPost, At: at, Path: "/jobs/" + string(id), Body: r})
 	switch {
 	case errors.Is(err, common.ErrNotSent):
 		return common.NotRun, err
@@ -96,7 +96,7 @@
 func (p *peers) cancel(ctx context.Context, at netip.AddrPort, id ID) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	r, err := p.x.Call(ctx, common.Request{Method: http.MethodDelete, At: at, Path: "/jobs/" + string(id)})
+	r, err := p.exchange.Call(ctx, common.Request{Method: http.MethodDelete, At: at, Path: "/jobs/" + string(id)})
 	switch {
 	case err != nil:
 		return false, err
@@ -119,12 +119,12 @@
 	m.HandleFunc("GET /overview", n.serveOverview)
 	m.HandleFunc("GET /explain/{id}", n.serveExplain)
 	m.HandleFunc("GET /refused/{id}", n.serveRefusal)
-	m.Handle("GET /metrics", n.exposed)
+	m.Handle("GET /metrics", n.metricsHandler)
 	return m
 }
 
 func (n *Node) serveState(w http.ResponseWriter, r *http.Request) {
-	s, known, owns := n.ownState(ID(r.PathValue("id")))
+	s, known, owns := n.localState(ID(r.PathValue("id")))
 	switch {
 	case !owns:
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -136,7 +136,7 @@
 }
 
 func (n *Node) serveWaiting(w http.ResponseWriter, r *http.Request) {
-	c, owns := n.ownWaiting(r.URL.Query().Get("name"))
+	c, owns := n.localWaiting(r.URL.Query().Get("name"))
 	if !owns {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -154,7 +154,7 @@
 	}
 	v, err := n.intake.accept(r.Context(), id, rec, n.now().Add(relayTimeout-answerMargin))
 	if err != nil {
-		n.log.Write(Note{What: "relayed job not taken", Job: id, Why: err.Error()})
+		n.log.Write(LogLine{What: "relayed job not taken", Job: id, Why: err.Error()})
 	}
 	_, _ = io.WriteString(w, v.String())
 }
--- a/job/perform.go
+++ b/job/perform.go
@@ -14,33 +14,33 @@
 	// lease, so that a start whose answer was lost is settled well before it ends. A
 	// worker answers in a few milliseconds.
 	orderTimeout = leaseFor / 5
-	// lookSlack is how much longer than its wait a look may take. A silent kept
+	// pollSlack is how much longer than its wait a look may take. A silent kept
 	// connection has half of it and a new one the rest; the look after a wait still
 	// extends a lease of leaseFor in its first half.
-	lookSlack = 700 * time.Millisecond
+	pollSlack = 700 * time.Millisecond
 )
 
-// errLeaseDoubtful says that an order was not given.
-var errLeaseDoubtful = errors.New("not sent: the owner's lease has not been renewed in time")
+// errLeaseNotRenewed says that an order was not given.
+var errLeaseNotRenewed = errors.New("not sent: the owner's lease has not been renewed in time")
 
 // perform does one action. All that waits runs beside the loop.
 func (o *owner) perform(ctx context.Context, a Action) {
 	switch a := a.(type) {
-	case Note:
-		o.metrics.note(a)
+	case LogLine:
+		o.metrics.record(a)
 		o.log.Write(a)
 	case StepDown:
 		o.resign(a.Why)
-	case LookAt:
-		go o.look(ctx, a, o.now())
+	case PollWorker:
+		go o.poll(ctx, a, o.now())
 	case StartRun:
 		go o.startRun(ctx, a)
 	case StopRun:
 		go o.stopRun(ctx, a)
 	case PaceRun:
 		go o.paceRun(ctx, a)
-	case Keep:
-		go o.keep(ctx, a)
+	case WriteStore:
+		go o.writeStore(ctx, a)
 	case WakeAt:
 		time.AfterFunc(a.At.Sub(o.now()), func() { o.send(ctx, Woken{}) })
 	case ListMachines:
@@ -51,70 +51,70 @@
 		})
 	case MaintainMachine:
 		go o.orderMachine(ctx, a.Machine, func(ctx context.Context) (platform.MachineVerdict, error) {
-			return o.Machines.Upkeep(ctx, a.Holder, a.Machine, a.Wave)
+			return o.Machines.Maintain(ctx, a.Holder, a.Machine, a.Wave)
 		})
-	case AskAdvice:
+	case RequestAdvice:
 		go o.askAdvice(ctx, a)
 	}
 }
 
-func (o *owner) look(ctx context.Context, a LookAt, sentAt time.Time) {
-	call, cancel := context.WithTimeout(ctx, a.Order.Wait+lookSlack)
+func (o *owner) poll(ctx context.Context, a PollWorker, sentAt time.Time) {
+	call, cancel := context.WithTimeout(ctx, a.Order.Wait+pollSlack)
 	defer cancel()
-	l, why, err := o.Workers.Look(call, a.Worker, a.Order)
-	o.metrics.order("look", outcome(string(why), err))
-	o.send(ctx, Looked{Worker: a.Worker.ID, SentAt: sentAt, Acked: a.Order.LastSeen, Look: l, Rejection: why, Err: err})
+	l, why, err := o.Workers.Poll(call, a.Worker, a.Order)
+	o.metrics.countOrder("look", orderOutcome(string(why), err))
+	o.send(ctx, PollResult{Worker: a.Worker.ID, SentAt: sentAt, Acked: a.Order.LastSeen, Poll: l, Rejection: why, Err: err})
 }
 
 func (o *owner) startRun(ctx context.Context, a StartRun) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	why, clock, err := o.Workers.Start(call, a.Worker, a.Order)
-	o.metrics.order("start", outcome(string(why), err))
-	o.send(ctx, Started{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Rejection: why, Clock: clock, Err: err})
+	o.metrics.countOrder("start", orderOutcome(string(why), err))
+	o.send(ctx, StartResult{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Rejection: why, Clock: clock, Err: err})
 }
 
 func (o *owner) stopRun(ctx context.Context, a StopRun) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	why, clock, err := o.Workers.Stop(call, a.Worker, a.Task, a.Run, a.Fence)
-	o.metrics.order("stop", outcome(string(why), err))
-	o.send(ctx, Stopped{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: why, Clock: clock, Err: err})
+	o.metrics.countOrder("stop", orderOutcome(string(why), err))
+	o.send(ctx, StopResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: why, Clock: clock, Err: err})
 }
 
 func (o *owner) paceRun(ctx context.Context, a PaceRun) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	why, _, err := o.Workers.Pace(call, a.Worker, a.Task, a.Run, a.Percent, a.Fence)
-	o.send(ctx, Paced{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: why, Err: err})
+	o.send(ctx, PaceResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: why, Err: err})
 }
 
-func (o *owner) keep(ctx context.Context, a Keep) {
-	err := o.keeper.keep(ctx, a, func() { o.send(ctx, KeepSlow{}) })
+func (o *owner) writeStore(ctx context.Context, a WriteStore) {
+	err := o.writer.write(ctx, a, func() { o.send(ctx, WriteSlow{}) })
 	if errors.Is(err, errDeposed) {
 		o.resign(err.Error())
 		return
 	}
-	o.send(ctx, Kept{Number: a.Number, At: o.keeper.last, Err: err})
+	o.send(ctx, WriteResult{Number: a.Number, Revision: o.writer.last, Err: err})
 }
 
 func (o *owner) listMachines(ctx context.Context, sentAt time.Time) {
 	l, err := o.Machines.List(ctx)
-	o.send(ctx, MachinesListed{SentAt: sentAt, Machines: l, Err: err})
+	o.send(ctx, MachineList{SentAt: sentAt, Machines: l, Err: err})
 }
 
 func (o *owner) orderMachine(ctx context.Context, machine string, order func(context.Context) (platform.MachineVerdict, error)) {
 	if o.sinceRenewal() > ownerTTL {
 		// Somebody else may own by now, and machines do not compare fences.
-		o.send(ctx, MachineOrdered{Machine: machine, Err: errLeaseDoubtful})
+		o.send(ctx, MachineOrderResult{Machine: machine, Err: errLeaseNotRenewed})
 		return
 	}
 	v, err := order(ctx)
-	o.metrics.moves.Add(ctx, 1, label("outcome", outcome(string(v), err)))
-	o.send(ctx, MachineOrdered{Machine: machine, Verdict: v, Err: err})
+	o.metrics.machineOrders.Add(ctx, 1, label("outcome", orderOutcome(string(v), err)))
+	o.send(ctx, MachineOrderResult{Machine: machine, Verdict: v, Err: err})
 }
 
-func (o *owner) askAdvice(ctx context.Context, a AskAdvice) {
+func (o *owner) askAdvice(ctx context.Context, a RequestAdvice) {
 	l, valid, err := o.Advice.Ask(ctx, a.Step, a.Workers, a.Terms)
-	o.send(ctx, Advised{Key: a.Key, Asked: a.Workers, Tickets: l, Valid: valid, Err: err})
+	o.send(ctx, AdviceResult{Key: a.Key, Asked: a.Workers, Tickets: l, Valid: valid, Err: err})
 }
--- a/job/place.go
+++ b/job/place.go
@@ -13,14 +13,14 @@
 	// coresWeight and memoryWeight make tasks gather where the most is used, in
 	// thousandths and hundredths of the room; blameWeight counts each failed run
 	// since the last good end like a fifth of the cores.
-	coresWeight  = 1000
-	memoryWeight = 100
-	blameWeight  = 200
-	// farPenalty keeps a task near its data wherever there is room.
-	farPenalty = 1 << 38
-	// duePenalty keeps lasting tasks from hosts that a wave is to maintain, from
+	coresWeight   = 1000
+	memoryWeight  = 100
+	failureWeight = 200
+	// otherRackPenalty keeps a task near its data wherever there is room.
+	otherRackPenalty = 1 << 38
+	// maintenancePenalty keeps lasting tasks from hosts that a wave is to maintain, from
 	// which they would have to move again.
-	duePenalty = 1 << 30
+	maintenancePenalty = 1 << 30
 	// avoidPenalty outweighs all else that rates a worker.
 	avoidPenalty = 1 << 40
 )
@@ -48,14 +48,14 @@
 func (c *Core) placeAll(pool []*worker, l []candidate) bool {
 	free := make([]*worker, 0, len(pool))
 	for _, w := range pool {
-		if w.takes(c.now) {
+		if w.acceptsStarts(c.now) {
 			free = append(free, w)
 		}
 	}
-	if !c.flow.may() || c.paused() {
+	if !c.flow.mayStart() || c.maybeReplaced() {
 		return false
 	}
-	var full needs
+	var full unplaceable
 	for _, s := range l {
 		if len(free) == 0 {
 			return true
@@ -64,24 +64,24 @@
 		case s.idle == 0:
 		case s.Gang:
 			c.placeGang(free, s.step)
-		case full.rule(s.Step):
+		case full.covers(s.Step):
 		case !c.placeStep(free, s.step):
 			full = append(full, s.Resources)
 		}
-		if s.idle > 0 && !c.flow.may() {
+		if s.idle > 0 && !c.flow.mayStart() {
 			return false
 		}
 	}
 	return true
 }
 
-// needs are what found no room on any worker in this pass.
-type needs []platform.Resources
+// unplaceable are what found no room on any worker in this pass.
+type unplaceable []platform.Resources
 
-// rule reports whether the step needs at least as much as another that found no
+// covers reports whether the step needs at least as much as another that found no
 // room, so that the workers need not be looked through again.
-func (n needs) rule(s *platform.Step) bool {
-	if s.Fills {
+func (n unplaceable) covers(s *platform.Step) bool {
+	if s.BestEffort {
 		return false
 	}
 	return slices.ContainsFunc(n, func(o platform.Resources) bool {
@@ -92,11 +92,11 @@
 // placeStep starts as many of the step's tasks as have room and can be sent now. It
 // reports false where no worker at all has room for one more, whatever its labels.
 func (c *Core) placeStep(free []*worker, s *step) bool {
-	for x := s.from; x < len(s.tasks) && s.idle > 0; x++ {
+	for x := s.firstIdle; x < len(s.tasks) && s.idle > 0; x++ {
 		t := s.tasks[x]
 		if !t.idle() {
-			if x == s.from {
-				s.from++
+			if x == s.firstIdle {
+				s.firstIdle++
 			}
 			continue
 		}
@@ -106,11 +106,11 @@
 		if !s.withinCap(1) {
 			return true
 		}
-		if !c.flow.may() {
+		if !c.flow.mayStart() {
 			return true
 		}
 		w := c.choose(free, t)
-		if w == nil && s.plain() {
+		if w == nil && s.unconstrained() {
 			return false
 		}
 		if w == nil {
@@ -127,16 +127,16 @@
 // notes that they wait where they do not.
 func (s *step) withinCap(n int64) bool {
 	t := s.of.job.team
-	if t.mayTake(s.Resources, n) {
+	if t.mayUse(s.Resources, n) {
 		return true
 	}
-	t.hold(s.of.job.queue.Service)
+	t.addWaiting(s.of.job.queue.Service)
 	return false
 }
 
-// plain reports whether only room decides where the step's tasks may run.
-func (s *step) plain() bool {
-	return s.perWorker == nil && s.Requires == "" && !s.Fills && s.advice == nil && s.of.job.queue.Advice == nil
+// unconstrained reports whether only room decides where the step's tasks may run.
+func (s *step) unconstrained() bool {
+	return s.perWorker == nil && s.Requires == "" && !s.BestEffort && s.advice == nil && s.of.job.queue.Advice == nil
 }
 
 // choose returns the best worker for the task, or nil where none has room.
@@ -147,7 +147,7 @@
 		if !c.allowed(w, t.of) {
 			continue
 		}
-		v := c.rate(w, t)
+		v := c.score(w, t)
 		if best == nil || v > top {
 			best = w
 			top = v
@@ -158,44 +158,44 @@
 
 // allowed reports whether the worker may run a task of the step now.
 func (c *Core) allowed(w *worker, s *step) bool {
-	if !w.fits(s.Step) || c.now.Before(w.trialUntil) {
+	if !w.fits(s.Step) || c.now.Before(w.isolatedUntil) {
 		return false
 	}
 	if s.Requires != "" && !slices.Contains(w.Labels, s.Requires) {
 		return false
 	}
-	if s.refused(w) {
+	if s.ruledOut(w) {
 		return false
 	}
 	return s.MaxPerWorker == 0 || s.perWorker[w.ID] < s.MaxPerWorker
 }
 
-// rate says how good a worker is for the task. Tasks gather on workers that are
+// score says how good a worker is for the task. Tasks gather on workers that are
 // busy already, so that others become free to be moved or maintained.
-func (c *Core) rate(w *worker, t *task) int64 {
+func (c *Core) score(w *worker, t *task) int64 {
 	v := w.used.MilliCores*coresWeight/max(1, w.Capacity.MilliCores) + w.used.MemoryMB*memoryWeight/max(1, w.Capacity.MemoryMB)
-	if t.onTrial() {
-		v = w.rateTrial(v, c.now)
+	if t.isolated() {
+		v = w.scoreIsolated(v, c.now)
 	}
 	if t.avoid == w.ID {
 		v -= avoidPenalty
 	}
 	if t.of.NearRack != "" && t.of.NearRack != w.rack {
-		v -= farPenalty
+		v -= otherRackPenalty
 	}
-	if w.due && t.of.Lasting {
-		v -= duePenalty
+	if w.maintenanceDue && t.of.Lasting {
+		v -= maintenancePenalty
 	}
-	v -= int64(w.blame) * blameWeight
-	v += c.rateShared(w, t.of)
+	v -= int64(w.failures) * failureWeight
+	v += c.scoreShared(w, t.of)
 	return v
 }
 
-// dueBy returns when the time of the job has to be done.
-func (c *Core) dueBy(j *job, n *instance) time.Time {
+// deadline returns when the time of the job has to be done.
+func (c *Core) deadline(j *job, n *instance) time.Time {
 	chain := time.Duration(0)
 	for _, s := range n.steps {
-		chain = max(chain, c.chainFrom(n, s))
+		chain = max(chain, c.criticalPath(n, s))
 	}
 	stretch := j.queue.Stretch
 	if stretch <= 0 {
@@ -204,16 +204,16 @@
 	return n.due.Add(time.Duration(stretch*float64(chain)) + j.queue.Goal)
 }
 
-// chainFrom returns the longest chain of work from the step on, the step
+// criticalPath returns the longest chain of work from the step on, the step
 // included.
-func (c *Core) chainFrom(n *instance, s *step) time.Duration {
+func (c *Core) criticalPath(n *instance, s *step) time.Duration {
 	longest := time.Duration(0)
 	for _, o := range n.steps {
 		if o != s && slices.Contains(o.After, s.index) {
-			longest = max(longest, c.chainFrom(n, o))
+			longest = max(longest, c.criticalPath(n, o))
 		}
 	}
-	return longest + c.expect(n.job, s.Step)
+	return longest + c.expectedRunTime(n.job, s.Step)
 }
 
 // ticket returns the leave to run the step on the worker, which only queues
@@ -222,5 +222,5 @@
 	if s.of.job.queue.Advice == nil {
 		return "", true
 	}
-	return c.advised(s, w)
+	return c.adviceTicket(s, w)
 }
--- a/job/pools.go
+++ b/job/pools.go
@@ -11,62 +11,62 @@
 // Figures of pools: a host in a pool costs each second about what one move
 // costs, at both users.
 const (
-	// idleFor is how long a host is more than its pool wants before it goes to
+	// poolIdleTimeout is how long a host is more than its pool wants before it goes to
 	// the spare pool.
-	idleFor = 800 * time.Millisecond
-	// surplusIdleFor is the same where the pool has far more than it wants, as
+	poolIdleTimeout = 800 * time.Millisecond
+	// surplusIdleTimeout is the same where the pool has far more than it wants, as
 	// after a turn of the load.
-	surplusIdleFor = 300 * time.Millisecond
-	// surplusShare is the part of what a pool wants beyond which it has far more,
+	surplusIdleTimeout = 300 * time.Millisecond
+	// surplusDivisor is the part of what a pool wants beyond which it has far more,
 	// and surplusLeast the fewest hosts.
-	surplusShare = 8
-	surplusLeast = 8
-	// planEvery is how often pools are looked at.
-	planEvery = 100 * time.Millisecond
-	// noteEvery is how often the log tells of all pools.
-	noteEvery = 2 * time.Second
-	// roomToSpare is the share of room that a pool keeps beyond its load, since
+	surplusDivisor = 8
+	minSurplus     = 8
+	// poolPlanInterval is how often pools are looked at.
+	poolPlanInterval = 100 * time.Millisecond
+	// poolLogInterval is how often the log tells of all pools.
+	poolLogInterval = 2 * time.Second
+	// poolHeadroom is the share of room that a pool keeps beyond its load, since
 	// tasks do not fill hosts to the last core.
-	roomToSpare = 0.1
-	// nearlyFull is the part of a host that a pool keeps free besides, so that a
+	poolHeadroom = 0.1
+	// freeHostFraction is the part of a host that a pool keeps free besides, so that a
 	// pool of one or two hosts gets one more in time.
-	nearlyFull = 0.25
-	// lendPatience is how long a host that is to be lent may take to run empty.
-	lendPatience = 2 * time.Second
+	freeHostFraction = 0.25
+	// transferTimeout is how long a host that is to be lent may take to run empty.
+	transferTimeout = 2 * time.Second
 )
 
-// pooling is the state of the decisions on pools.
-type pooling struct {
-	planAt, noteAt time.Time
-	// waiting is what tasks without room ask for, by service.
-	waiting map[string]platform.Resources
+// poolBalancer is the state of the decisions on pools.
+type poolBalancer struct {
+	planAt, logAt time.Time
+	// unplaced is what tasks without room ask for, by service.
+	unplaced map[string]platform.Resources
 	// arrivals is the work that came in lately, by service.
 	arrivals map[string]*arrivals
 }
 
-func newPooling() pooling {
-	return pooling{waiting: map[string]platform.Resources{}, arrivals: map[string]*arrivals{}}
+func newPoolBalancer() poolBalancer {
+	return poolBalancer{unplaced: map[string]platform.Resources{}, arrivals: map[string]*arrivals{}}
 }
 
-// tendPools moves hosts between the pools and the spare pool as the load asks.
-func (c *Core) tendPools() {
+// reconcilePools moves hosts between the pools and the spare pool as the load asks.
+func (c *Core) reconcilePools() {
 	spare := c.sparePool()
-	if spare == "" || c.now.Before(c.ordersAt) || c.now.Before(c.balance.planAt) {
+	if spare == "" || c.now.Before(c.ordersFrom) || c.now.Before(c.balance.planAt) {
 		return
 	}
-	c.balance.planAt = c.now.Add(planEvery)
-	c.renewTainted(spare)
-	plan := c.demands(spare)
-	c.notePools(plan)
+	c.balance.planAt = c.now.Add(poolPlanInterval)
+	c.recycleTainted(spare)
+	plan := c.poolDemands(spare)
+	c.logPools(plan)
 	for i := range plan {
-		c.fetchIdle(&plan[i], plan)
-		c.fetchSpares(&plan[i], spare)
+		c.addIdleHosts(&plan[i], plan)
+		c.addSpareHosts(&plan[i], spare)
 	}
 	for i := range plan {
-		c.borrow(&plan[i], plan)
+		c.transferHosts(&plan[i], plan)
 	}
 	for i := range plan {
-		c.giveBack(&plan[i], spare)
+		c.releaseSurplus(&plan[i], spare)
 	}
 }
 
@@ -79,19 +79,19 @@
 	return ""
 }
 
-// renewTainted gives the machines of tainted workers a new life by way of the
+// recycleTainted gives the machines of tainted workers a new life by way of the
 // spare pool.
-func (c *Core) renewTainted(spare string) {
+func (c *Core) recycleTainted(spare string) {
 	for _, w := range c.workers {
-		m := c.byName[w.Host]
-		if w.tainted && m != nil && m.Worker == w.ID.Name() && c.mayGiveBack() && c.free(m) && c.empty(m, lendPatience) {
-			c.order(m, &machineOrder{pool: spare})
+		m := c.machinesByName[w.Host]
+		if w.tainted && m != nil && m.Worker == w.ID.Name() && c.mayRelease() && c.orderable(m) && c.drainMachine(m, transferTimeout) {
+			c.recordOrder(m, &machineOrder{pool: spare})
 		}
 	}
 }
 
-// fetchSpares brings hosts from the spare pool to one that is short.
-func (c *Core) fetchSpares(d *demand, spare string) {
+// addSpareHosts brings hosts from the spare pool to one that is short.
+func (c *Core) addSpareHosts(d *demand, spare string) {
 	if d.have >= d.want {
 		return
 	}
@@ -99,14 +99,14 @@
 		if d.have >= d.want || !c.mayOrder() {
 			return
 		}
-		c.move(m, d.service, d)
+		c.orderMove(m, d.service, d)
 		d.have++
 	}
 }
 
-// fetchIdle brings hosts without runs from pools that have more than they want:
+// addIdleHosts brings hosts without runs from pools that have more than they want:
 // one move in place of two by way of the spare pool.
-func (c *Core) fetchIdle(d *demand, plan []demand) {
+func (c *Core) addIdleHosts(d *demand, plan []demand) {
 	for i := range plan {
 		from := &plan[i]
 		if from.service == d.service || d.have >= d.want || from.have <= from.want {
@@ -119,7 +119,7 @@
 			if !c.idle(m) {
 				continue
 			}
-			c.move(m, d.service, d)
+			c.orderMove(m, d.service, d)
 			d.have++
 			from.have--
 		}
@@ -129,14 +129,14 @@
 // idle reports whether the machine has a worker that is known to run nothing.
 func (c *Core) idle(m *machine) bool {
 	w := c.workerOf(m)
-	return w != nil && !w.leaving && !w.Draining && c.known(m) && len(w.runs) == 0
+	return w != nil && !w.leaving && !w.Draining && c.runsKnown(m) && len(w.runs) == 0
 }
 
 // movable returns the machines of a pool that could get an order now.
 func (c *Core) movable(pool string) []*machine {
 	var l []*machine
-	for _, m := range c.byName {
-		if m.Pool == pool && c.free(m) && m.emptyingSince.IsZero() {
+	for _, m := range c.machinesByName {
+		if m.Pool == pool && c.orderable(m) && m.drainingSince.IsZero() {
 			l = append(l, m)
 		}
 	}
@@ -144,47 +144,47 @@
 	return l
 }
 
-// borrow takes hosts from pools that have more than they want. Hosts without
+// transferHosts takes hosts from pools that have more than they want. Hosts without
 // runs move at once; others run empty first, if no lasting tasks are there.
-func (c *Core) borrow(d *demand, plan []demand) {
-	c.tendLent(d)
-	for i := len(plan) - 1; i >= 0 && d.have < d.want && d.waits; i-- {
+func (c *Core) transferHosts(d *demand, plan []demand) {
+	c.reconcileTransfers(d)
+	for i := len(plan) - 1; i >= 0 && d.have < d.want && d.hasUnplaced; i-- {
 		from := &plan[i]
 		if from.service == d.service || from.have <= from.want {
 			continue
 		}
-		for _, m := range c.lendable(from.service) {
+		for _, m := range c.transferable(from.service) {
 			if d.have >= d.want || from.have <= from.want {
 				break
 			}
-			m.lend = d.service
-			m.emptyingSince = c.now
-			c.byHost[m.Name].leaving = true
+			m.transferTo = d.service
+			m.drainingSince = c.now
+			c.listedByHost[m.Name].leaving = true
 			from.have--
 			d.have++
 		}
 	}
-	c.tendLent(d)
+	c.reconcileTransfers(d)
 }
 
-// lendable returns the hosts of a pool without lasting tasks, the emptiest
+// transferable returns the hosts of a pool without lasting tasks, the emptiest
 // first.
-func (c *Core) lendable(pool string) []*machine {
+func (c *Core) transferable(pool string) []*machine {
 	var l []*machine
 	for _, m := range c.movable(pool) {
-		w := c.byHost[m.Name]
-		if w != nil && c.known(m) && !w.Draining && !w.leaving && !w.lasting() {
+		w := c.listedByHost[m.Name]
+		if w != nil && c.runsKnown(m) && !w.Draining && !w.leaving && !w.hasLasting() {
 			l = append(l, m)
 		}
 	}
 	slices.SortStableFunc(l, func(a, b *machine) int {
-		return cmp.Compare(c.byHost[a.Name].used.MilliCores, c.byHost[b.Name].used.MilliCores)
+		return cmp.Compare(c.listedByHost[a.Name].used.MilliCores, c.listedByHost[b.Name].used.MilliCores)
 	})
 	return l
 }
 
-// lasting reports whether lasting tasks run on the worker.
-func (w *worker) lasting() bool {
+// hasLasting reports whether lasting tasks run on the worker.
+func (w *worker) hasLasting() bool {
 	for _, r := range w.runs {
 		if r.task.of.Lasting {
 			return true
@@ -193,56 +193,56 @@
 	return false
 }
 
-// tendLent moves the hosts that are to be lent to the pool once they are empty,
+// reconcileTransfers moves the hosts that are to be lent to the pool once they are empty,
 // and takes back what is not needed or takes too long.
-func (c *Core) tendLent(d *demand) {
-	for _, m := range c.byName {
-		if m.lend != d.service || m.order != nil {
+func (c *Core) reconcileTransfers(d *demand) {
+	for _, m := range c.machinesByName {
+		if m.transferTo != d.service || m.order != nil {
 			continue
 		}
-		w := c.byHost[m.Name]
+		w := c.listedByHost[m.Name]
 		switch {
 		case w == nil || len(w.runs) == 0:
 			if c.mayOrder() {
-				m.lend = ""
-				c.move(m, d.service, d)
+				m.transferTo = ""
+				c.orderMove(m, d.service, d)
 			}
-		case !d.waits || c.now.Sub(m.emptyingSince) > lendPatience:
-			m.lend = ""
-			m.emptyingSince = time.Time{}
+		case !d.hasUnplaced || c.now.Sub(m.drainingSince) > transferTimeout:
+			m.transferTo = ""
+			m.drainingSince = time.Time{}
 			w.leaving = false
 			d.have--
 		}
 	}
 }
 
-func (c *Core) move(m *machine, pool string, d *demand) {
-	c.do(Note{What: "move", Inputs: []any{"machine", m.Name, "from", m.Pool, "to", pool, "want", d.want, "have", d.have, "waits", d.waits}})
-	c.order(m, &machineOrder{pool: pool})
+func (c *Core) orderMove(m *machine, pool string, d *demand) {
+	c.emit(LogLine{What: "move", Fields: []any{"machine", m.Name, "from", m.Pool, "to", pool, "want", d.want, "have", d.have, "waits", d.hasUnplaced}})
+	c.recordOrder(m, &machineOrder{pool: pool})
 }
 
-// patience is how long a host of the pool idles before it goes.
-func (d *demand) patience() time.Duration {
-	if d.have-d.want > max(surplusLeast, d.want/surplusShare) {
-		return surplusIdleFor
+// idleTimeout is how long a host of the pool idles before it goes.
+func (d *demand) idleTimeout() time.Duration {
+	if d.have-d.want > max(minSurplus, d.want/surplusDivisor) {
+		return surplusIdleTimeout
 	}
-	return idleFor
+	return poolIdleTimeout
 }
 
-// giveBack sends hosts that a pool has not wanted for a while to the spare
+// releaseSurplus sends hosts that a pool has not wanted for a while to the spare
 // pool.
-func (c *Core) giveBack(d *demand, spare string) {
+func (c *Core) releaseSurplus(d *demand, spare string) {
 	if d.have <= d.want {
 		return
 	}
 	for _, m := range c.movable(d.service) {
-		if d.have <= d.want || !c.mayGiveBack() {
+		if d.have <= d.want || !c.mayRelease() {
 			return
 		}
-		if !c.idle(m) || c.now.Sub(c.workerOf(m).idleSince) < d.patience() {
+		if !c.idle(m) || c.now.Sub(c.workerOf(m).idleSince) < d.idleTimeout() {
 			continue
 		}
-		c.move(m, spare, d)
+		c.orderMove(m, spare, d)
 		d.have--
 	}
 }
--- a/job/progress.go
+++ b/job/progress.go
@@ -21,14 +21,14 @@
 	// number. Those below Past are done in whole.
 	Instances map[int]InstanceProgress `json:"i,omitempty"`
 	Past      int                      `json:"p,omitempty"`
-	// Remains is what runs of a final job take that have yet to end, nil where its team
+	// Leftover is what runs of a final job take that have yet to end, nil where its team
 	// has no cap.
-	Remains *Remains `json:"r,omitempty"`
+	Leftover *LeftoverRuns `json:"r,omitempty"`
 }
 
-// Remains says what the runs of a final job count for, which the next owner may find at
+// LeftoverRuns says what the runs of a final job count for, which the next owner may find at
 // its workers when the job's record has gone.
-type Remains struct {
+type LeftoverRuns struct {
 	Team    string `json:"m"`
 	Service string `json:"s"`
 	// Tasks are what a task takes, by step; Running is what all those take that had not
@@ -37,17 +37,17 @@
 	Running platform.Resources   `json:"r"`
 }
 
-// remains returns what the job's runs still take of its team's cap, or nil. Where workers
+// leftoverRuns returns what the job's runs still take of its team's cap, or nil. Where workers
 // have yet to say what an earlier owner started, each task may run.
-func (c *Core) remains(j *job) *Remains {
+func (c *Core) leftoverRuns(j *job) *LeftoverRuns {
 	if j.team == nil || j.team.Cap == (platform.Resources{}) {
 		return nil
 	}
-	r := &Remains{Team: j.Team, Service: j.queue.Service, Running: j.strays}
+	r := &LeftoverRuns{Team: j.Team, Service: j.queue.Service, Running: j.orphanUsage}
 	for _, i := range j.instances {
 		for _, s := range i.steps {
-			n := s.runs()
-			if !c.settled(j) {
+			n := s.runCount()
+			if !c.inheritedRunsKnown(j) {
 				n += s.idle
 			}
 			r.Running = r.Running.Plus(s.Resources, int64(n))
@@ -62,8 +62,8 @@
 	return r
 }
 
-// runs counts the runs of the step's tasks.
-func (s *step) runs() int {
+// runCount counts the runs of the step's tasks.
+func (s *step) runCount() int {
 	n := 0
 	for _, t := range s.tasks {
 		n += len(t.runs)
@@ -71,16 +71,16 @@
 	return n
 }
 
-// ended returns a job of which an earlier owner has kept that it is final.
-func (c *Core) ended(id ID, p Progress) *job {
-	j := &job{id: id, state: p.State, kept: p.State, finalAt: p.FinalAt, began: true, left: p.Remains}
-	if r := p.Remains; r != nil {
+// finalJob returns a job of which an earlier owner has kept that it is final.
+func (c *Core) finalJob(id ID, p Progress) *job {
+	j := &job{id: id, state: p.State, storedState: p.State, finalAt: p.FinalAt, started: true, leftover: p.Leftover}
+	if r := p.Leftover; r != nil {
 		j.Team, j.Service, j.queue.Service = r.Team, r.Service, r.Service
 		j.team = c.teams.find(r.Team)
 		for _, t := range r.Tasks {
 			j.Steps = append(j.Steps, platform.Step{Resources: t})
 		}
-		c.teams.ended = append(c.teams.ended, j)
+		c.teams.endedUncontacted = append(c.teams.endedUncontacted, j)
 	}
 	return j
 }
@@ -91,7 +91,7 @@
 	Done []*big.Int `json:"d,omitempty"`
 	// Failures counts the failed runs of unfinished tasks.
 	Failures []TaskFailures `json:"f,omitempty"`
-	Whole    bool           `json:"w,omitempty"`
+	Complete bool           `json:"w,omitempty"`
 }
 
 // TaskFailures are the failed runs of one task, by number: a worker tells of an
@@ -149,13 +149,13 @@
 func (c *Core) progress(j *job) Progress {
 	p := Progress{State: j.state, FinalAt: j.finalAt}
 	if j.state.Final() {
-		p.Remains = c.remains(j)
+		p.Leftover = c.leftoverRuns(j)
 		return p
 	}
-	p.Past = j.past
+	p.Past = j.oldestInstance
 	p.Instances = make(map[int]InstanceProgress, len(j.instances))
 	for k, n := range j.instances {
-		if !n.untouched() {
+		if !n.noTaskEnded() {
 			p.Instances[k] = n.progress()
 		}
 	}
@@ -163,8 +163,8 @@
 }
 
 func (n *instance) progress() InstanceProgress {
-	if n.left == 0 {
-		return InstanceProgress{Whole: true}
+	if n.remaining == 0 {
+		return InstanceProgress{Complete: true}
 	}
 	p := InstanceProgress{Done: make([]*big.Int, len(n.steps))}
 	for i, s := range n.steps {
@@ -186,8 +186,8 @@
 func (n *instance) restore(p InstanceProgress, now time.Time) {
 	for i, s := range n.steps {
 		for x, t := range s.tasks {
-			if p.Whole || (i < len(p.Done) && p.Done[i] != nil && p.Done[i].Bit(x) == 1) {
-				n.finish(t)
+			if p.Complete || (i < len(p.Done) && p.Done[i] != nil && p.Done[i].Bit(x) == 1) {
+				n.markDone(t)
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 			t.failed = f.Runs
 			t.crashes = f.Crashes
 			if t.of.Lasting && t.crashes.All > 0 {
-				t.notBefore = now.Add(t.crashes.pause())
+				t.notBefore = now.Add(t.crashes.backoff())
 			}
 		}
 	}
--- a/job/query.go
+++ b/job/query.go
@@ -13,7 +13,7 @@
 	if j == nil {
 		return "", false
 	}
-	if j.state.Final() && j.kept != j.state && j.state != platform.StateCancelled {
+	if j.state.Final() && j.storedState != j.state && j.state != platform.StateCancelled {
 		return platform.StateRunning, true
 	}
 	return j.state, true
@@ -22,8 +22,8 @@
 // Waiting returns how many accepted jobs of a queue have not begun.
 func (c *Core) Waiting(queue string) int {
 	n := 0
-	for _, j := range c.live {
-		if !j.began && j.Queue == queue {
+	for _, j := range c.active {
+		if !j.started && j.Queue == queue {
 			n++
 		}
 	}
@@ -32,38 +32,38 @@
 
 // Figures of an owner's own reach.
 const (
-	// cutOffFor is how long more workers have to be silent than answer before
+	// cutOffAfter is how long more workers have to be silent than answer before
 	// an owner takes itself to be cut off.
-	cutOffFor = 900 * time.Millisecond
-	// cutOffLeast is the fewest silent workers that say anything about it.
-	cutOffLeast = 4
-	// heardLately is how long an answer speaks for the way to a worker.
-	heardLately = 3 * time.Second
+	cutOffAfter = 900 * time.Millisecond
+	// cutOffMinSilent is the fewest silent workers that say anything about it.
+	cutOffMinSilent = 4
+	// recentAnswerWithin is how long an answer speaks for the way to a worker.
+	recentAnswerWithin = 3 * time.Second
 )
 
-// checkReach gives ownership up when most workers cannot be reached while the
+// checkConnectivity gives ownership up when most workers cannot be reached while the
 // store can: another host may reach them.
-func (c *Core) checkReach() {
+func (c *Core) checkConnectivity() {
 	silent, reached := 0, 0
 	for _, w := range c.workers {
 		switch {
 		case !w.listed || w.stale || w.leaving:
-		case w.silent > 0:
+		case w.missedPolls > 0:
 			silent++
-		case c.now.Sub(w.heardAt) < heardLately:
+		case c.now.Sub(w.answeredAt) < recentAnswerWithin:
 			reached++
 		}
 	}
-	if silent < cutOffLeast || silent <= reached {
+	if silent < cutOffMinSilent || silent <= reached {
 		c.cutOffSince = time.Time{}
 		return
 	}
 	if c.cutOffSince.IsZero() {
 		c.cutOffSince = c.now
 	}
-	if c.now.Sub(c.cutOffSince) > cutOffFor {
-		c.do(Note{What: "cut off", Why: "more workers are silent than answer", Inputs: []any{"silent", silent, "reached", reached}})
-		c.do(StepDown{Why: whyCutOff})
+	if c.now.Sub(c.cutOffSince) > cutOffAfter {
+		c.emit(LogLine{What: "cut off", Why: "more workers are silent than answer", Fields: []any{"silent", silent, "reached", reached}})
+		c.emit(StepDown{Why: whyCutOff})
 	}
 }
 
--- a/job/record.go
+++ b/job/record.go
@@ -28,15 +28,15 @@
 const (
 	// jobsPrefix begins what entry hosts write and the owner follows.
 	jobsPrefix = "jobs/"
-	// newPrefix begins the records of accepted jobs that are not final.
-	newPrefix = "jobs/new/"
+	// recordPrefix begins the records of accepted jobs that are not final.
+	recordPrefix = "jobs/new/"
 	// cancelPrefix begins the marks of jobs that a caller has cancelled.
 	cancelPrefix = "jobs/cancel/"
 	// progressPrefix begins what the owner keeps of a job.
 	progressPrefix = "progress/"
 )
 
-func newKey(id ID) string      { return newPrefix + string(id) }
+func recordKey(id ID) string   { return recordPrefix + string(id) }
 func cancelKey(id ID) string   { return cancelPrefix + string(id) }
 func progressKey(id ID) string { return progressPrefix + string(id) }
 
@@ -54,30 +54,30 @@
 	Team string `json:"m,omitempty"`
 	// DataCentre is where that was.
 	DataCentre string `json:"l,omitempty"`
-	// CameAt is when the first entry host read the job.
-	CameAt time.Time       `json:"t"`
-	Spec   string          `json:"c"`
-	Steps  []platform.Step `json:"w"`
-	Times  int             `json:"n,omitempty"`
-	First  time.Time       `json:"f,omitzero"`
-	Every  time.Duration   `json:"e,omitempty"`
+	// ReceivedAt is when the first entry host read the job.
+	ReceivedAt time.Time       `json:"t"`
+	Spec       string          `json:"c"`
+	Steps      []platform.Step `json:"w"`
+	Times      int             `json:"n,omitempty"`
+	First      time.Time       `json:"f,omitzero"`
+	Every      time.Duration   `json:"e,omitempty"`
 }
 
 // NewRecord returns the record of a job that was handed in to a queue.
 func NewRecord(q platform.Queue, s platform.Submission, now time.Time) Record {
 	return Record{
-		Queue:    q.Name,
-		Service:  q.Service,
-		Priority: q.Priority,
-		Attempts: q.Attempts,
-		Stretch:  q.Stretch,
-		Goal:     q.Goal,
-		CameAt:   now,
-		Spec:     s.Spec,
-		Steps:    s.Steps,
-		Times:    s.Times,
-		First:    s.First,
-		Every:    s.Every,
+		Queue:      q.Name,
+		Service:    q.Service,
+		Priority:   q.Priority,
+		Attempts:   q.Attempts,
+		Stretch:    q.Stretch,
+		Goal:       q.Goal,
+		ReceivedAt: now,
+		Spec:       s.Spec,
+		Steps:      s.Steps,
+		Times:      s.Times,
+		First:      s.First,
+		Every:      s.Every,
 	}
 }
 
@@ -118,7 +118,7 @@
 	if s.Count <= 0 || s.Count > maxTasks {
 		return fmt.Errorf("step %d: %d tasks, not 1 to %d", i, s.Count, maxTasks)
 	}
-	if s.MilliCores < 0 || s.MemoryMB < 0 || s.GPUs < 0 || s.MaxPerWorker < 0 || s.MayMiss < 0 || s.Estimate < 0 {
+	if s.MilliCores < 0 || s.MemoryMB < 0 || s.GPUs < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.Estimate < 0 {
 		return fmt.Errorf("step %d: a negative number", i)
 	}
 	for _, a := range s.After {
@@ -160,7 +160,7 @@
 // decodeRecord reads the record of a job. What no entry host would have written is an
 // error: an entry may come from another writer.
 func decodeRecord(e platform.Entry) (ID, Record, error) {
-	id, ok := ParseID(strings.TrimPrefix(e.Key, newPrefix))
+	id, ok := ParseID(strings.TrimPrefix(e.Key, recordPrefix))
 	if !ok {
 		return id, Record{}, fmt.Errorf("job: %.80q is no key of a record", e.Key)
 	}
--- a/job/refusals.go
+++ b/job/refusals.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// mostRefusals is how many refused jobs a host remembers: some minutes of a busy one's.
-const mostRefusals = 1024
+// maxRefusals is how many refused jobs a host remembers: some minutes of a busy one's.
+const maxRefusals = 1024
 
 // Why jobs are refused, as shown to who asks for the job afterwards.
 const (
-	refusedKey     = "no such key"
-	refusedOutdate = "it was not known whether its key was in force"
-	refusedFull    = "its queue was full"
-	refusedShare   = "its queue was full, and its team beyond its share"
-	refusedCap     = "it can never run within its team's cap"
+	refusedKey      = "no such key"
+	refusedOutdated = "it was not known whether its key was in force"
+	refusedFull     = "its queue was full"
+	refusedShare    = "its queue was full, and its team beyond its share"
+	refusedCap      = "it can never run within its team's cap"
 )
 
 // Refusal is what an entry host remembers of a job that it has refused.
@@ -29,28 +29,28 @@
 // refusals are the last jobs that were refused here, and how many were of each team.
 type refusals struct {
 	mu     sync.Mutex
-	last   map[ID]Refusal
+	byID   map[ID]Refusal
 	order  []ID
 	byTeam map[string]int64
 }
 
 func newRefusals() *refusals {
-	return &refusals{last: map[ID]Refusal{}, byTeam: map[string]int64{}}
+	return &refusals{byID: map[ID]Refusal{}, byTeam: map[string]int64{}}
 }
 
-// note remembers a refusal; "" is the team of who is not known.
-func (l *refusals) note(r Refusal, team string) {
+// add remembers a refusal; "" is the team of who is not known.
+func (l *refusals) add(r Refusal, team string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if team != "" {
 		l.byTeam[team]++
 	}
-	if _, there := l.last[r.ID]; !there {
+	if _, there := l.byID[r.ID]; !there {
 		l.order = append(l.order, r.ID)
 	}
-	l.last[r.ID] = r
-	if len(l.order) > mostRefusals {
-		delete(l.last, l.order[0])
+	l.byID[r.ID] = r
+	if len(l.order) > maxRefusals {
+		delete(l.byID, l.order[0])
 		l.order = l.order[1:]
 	}
 }
@@ -58,7 +58,7 @@
 func (l *refusals) find(id ID) (Refusal, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r, ok := l.last[id]
+	r, ok := l.byID[id]
 	return r, ok
 }
 
--- a/job/removed_review_test.go
+++ b/job/removed_review_test.go
@@ -10,9 +10,9 @@
 	"amberway/platform"
 )
 
-// refuse lets time pass as live does, but connections to w2 are refused at once. It
+// passRefusing lets time pass as live does, but connections to w2 are refused at once. It
 // returns when the first task was started, or zero.
-func (f *heir) refuse(d time.Duration, l ...platform.Machine) time.Duration {
+func (f *takeoverFixture) passRefusing(d time.Duration, l ...platform.Machine) time.Duration {
 	began := f.now
 	for end := f.now.Add(d); f.now.Before(end); {
 		if _, ok := f.looks["w2"]; ok && f.core.workers["w2"] != nil {
@@ -20,10 +20,10 @@
 		}
 		f.pass(tickEvery)
 		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.Look{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
 		}
 		if f.core.listing {
-			f.machinesAre(l...)
+			f.listMachines(l...)
 		}
 		if len(f.starts()) > 0 {
 			return f.now.Sub(began)
@@ -35,8 +35,8 @@
 // The second list is asked for soon after the first also where the host refuses
 // connections, so that the first list comes after the look has failed.
 func TestNextOwnerDoesNotWaitForARemovedHostThatRefuses(t *testing.T) {
-	f := newHeir(t)
-	took := f.refuse(inheritedLease, machineOf("w1", "blue"))
+	f := newTakeoverFixture(t)
+	took := f.passRefusing(inheritedLease, machineOf("w1", "blue"))
 	require.NotZero(t, took)
 	require.Less(t, took, lastingTaskAgainWithin)
 }
@@ -44,20 +44,20 @@
 // A look may fail while a slow list is under way: the next list follows soon.
 func TestNextOwnerDoesNotWaitForARemovedHostWhileListsAreSlow(t *testing.T) {
 	const slow = 700 * time.Millisecond
-	f := newHeir(t)
+	f := newTakeoverFixture(t)
 	var sent time.Time
 	for began := f.now; len(f.starts()) == 0; {
 		require.Less(t, f.now.Sub(began), lastingTaskAgainWithin)
 		f.pass(tickEvery)
-		f.hang("w2")
+		f.timeOutPoll("w2")
 		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.Look{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
 		}
 		if f.core.listing && sent.IsZero() {
 			sent = f.now
 		}
 		if f.core.listing && f.now.Sub(sent) >= slow {
-			f.step(MachinesListed{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
+			f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
 			sent = time.Time{}
 		}
 	}
@@ -67,10 +67,10 @@
 func TestListsFromBeforeAnAnswerDoNotCount(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, time.Second)
-	f.machinesAre(machineOf("w2", "blue"))
-	f.machinesAre(machineOf("w2", "blue"))
-	f.workOn(r, 3*time.Second)
+	f.runAtWork(r, time.Second)
+	f.listMachines(machineOf("w2", "blue"))
+	f.listMachines(machineOf("w2", "blue"))
+	f.runAtWork(r, 3*time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.fail("w1", common.ErrUnknown)
 	f.pass(tickEvery)
@@ -78,17 +78,17 @@
 }
 
 // Records go with the store's outages and come back up to two seconds later.
-func TestRecordThatGoesWithTheStoreIsNoSignOfAnEnd(t *testing.T) {
+func TestRecordLostInStoreOutageIsNotRemoval(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, time.Second)
+	f.runAtWork(r, time.Second)
 	f.passWithoutStore(time.Second)
-	f.step(WorkersListed{testWorker("w2")})
+	f.step(WorkerList{testWorker("w2")})
 	f.out = nil
 	f.fail("w1", common.ErrUnknown)
 	for range 2 {
 		f.passWithoutStore(listEvery)
-		f.machinesAre(machineOf("w2", "blue"))
+		f.listMachines(machineOf("w2", "blue"))
 	}
 	require.Empty(t, f.starts())
 }
@@ -97,13 +97,13 @@
 func TestListFromBeforeALifeDoesNotEndIt(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
-	f.machinesAre(machineOf("w1", "blue"))
+	f.listMachines(machineOf("w1", "blue"))
 	sent := f.now
 	f.pass(200 * time.Millisecond)
 	v := testWorker("w2")
 	v.Host = "host-of-w1"
 	f.step(WorkerListed{Worker: v})
-	f.answer("w2", platform.Look{})
+	f.answer("w2", platform.PollReply{})
 	s := oneTask()
 	s.Lasting = true
 	f.submit(idA, "quick", s)
@@ -111,11 +111,11 @@
 	l := f.starts()
 	require.Len(t, l, 1)
 	f.took(l[0])
-	f.answer("w2", platform.Look{Running: []platform.RunningRow{runningRow(l[0], 100)}})
+	f.answer("w2", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 	f.join("w3")
 	f.pass(200 * time.Millisecond)
 	f.fail("w2", common.ErrUnknown)
-	f.step(MachinesListed{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
+	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
 	f.pass(tickEvery)
 	require.Empty(t, f.starts(), "w2 lives: it answered after the list was asked for")
 }
@@ -127,9 +127,9 @@
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
 		Waves: []platform.Wave{{Number: 4, Machines: []string{"host-of-w2"}, Within: 20 * time.Second, Cap: 1}},
 	})
-	f.answer("w1", platform.Look{})
-	f.answer("w2", platform.Look{})
-	f.machinesAre(machineOf("w1", "blue"))
+	f.answer("w1", platform.PollReply{})
+	f.answer("w2", platform.PollReply{})
+	f.listMachines(machineOf("w1", "blue"))
 	f.pass(tickEvery)
 	require.False(t, f.core.waves[4].reported)
 }
@@ -140,7 +140,7 @@
 	f := newFixture(t)
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
-	f.machinesAre(up...)
+	f.listMachines(up...)
 	f.pass(2 * time.Second)
 	l := f.moves()
 	require.NotEmpty(t, l)
@@ -150,12 +150,12 @@
 			rest = append(rest, m)
 		}
 	}
-	f.machinesAre(rest...)
-	f.machinesAre(rest...)
-	f.step(MachineOrdered{Machine: l[0].Machine, Verdict: platform.OrderBusy})
-	f.machinesAre(up...)
+	f.listMachines(rest...)
+	f.listMachines(rest...)
+	f.step(MachineOrderResult{Machine: l[0].Machine, Verdict: platform.OrderBusy})
+	f.listMachines(up...)
 	for _, w := range f.core.workers {
-		require.False(t, w.leaving && f.core.byName[w.Host].order == nil, "%s", w.ID)
+		require.False(t, w.leaving && f.core.machinesByName[w.Host].order == nil, "%s", w.ID)
 	}
 }
 
@@ -165,13 +165,13 @@
 	f := newFixture(t)
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
-	f.machinesAre(up...)
+	f.listMachines(up...)
 	f.pass(2 * time.Second)
 	require.NotEmpty(t, f.moves())
 	sent := f.now
 	f.pass(tickEvery)
 	f.step(WorkerListed{Worker: testWorker("w3")})
 	f.fail("w3", common.ErrUnknown)
-	f.step(MachinesListed{SentAt: sent, Machines: up})
-	require.False(t, f.core.listAt.After(f.now.Add(listSilent)))
+	f.step(MachineList{SentAt: sent, Machines: up})
+	require.False(t, f.core.listAt.After(f.now.Add(listAfterSilence)))
 }
--- a/job/removed_test.go
+++ b/job/removed_test.go
@@ -11,15 +11,15 @@
 	"amberway/platform"
 )
 
-// heir is an owner that has taken over a lasting job, whose task ran on w2 under the
+// takeoverFixture is an owner that has taken over a lasting job, whose task ran on w2 under the
 // owner before. Worker w1 has answered, has room, and is kept in its pool by a task of
 // a new job; w2 has no record in the store any more and does not answer.
-type heir struct {
+type takeoverFixture struct {
 	*fixture
 	keeps StartRun
 }
 
-func newHeir(t *testing.T) *heir {
+func newTakeoverFixture(t *testing.T) *takeoverFixture {
 	t.Helper()
 	f := newFixture(t)
 	s := oneTask()
@@ -28,39 +28,39 @@
 	last := RosterEntry{ID: "w2", Service: "blue", Host: "host-of-w2", Address: netip.MustParseAddrPort("10.0.0.2:80")}
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1")},
-		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 50}},
 		Roster: Roster{Workers: []RosterEntry{last}},
 	})
-	f.answer("w1", platform.Look{})
+	f.answer("w1", platform.PollReply{})
 	f.submit(idB, "quick", s)
 	l := f.starts()
 	require.Len(t, l, 1, "no earlier owner has seen the new job")
-	h := &heir{fixture: f, keeps: l[0]}
+	h := &takeoverFixture{fixture: f, keeps: l[0]}
 	h.took(h.keeps)
 	return h
 }
 
-// live lets time pass while lists of machines name those given, looks at w2 hang and
+// passListing lets time pass while lists of machines name those given, looks at w2 hang and
 // w1 answers. It returns the starts of that time.
-func (f *heir) live(d time.Duration, l ...platform.Machine) []StartRun {
+func (f *takeoverFixture) passListing(d time.Duration, l ...platform.Machine) []StartRun {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
-		f.hang("w2")
+		f.timeOutPoll("w2")
 		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.Look{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
 		}
 		if f.core.listing {
-			f.machinesAre(l...)
+			f.listMachines(l...)
 		}
 	}
 	return f.starts()
 }
 
-// hang ends a look at a worker that nothing answers, once its time is over.
-func (f *heir) hang(id platform.WorkerID) {
+// timeOutPoll ends a look at a worker that nothing answers, once its time is over.
+func (f *takeoverFixture) timeOutPoll(id platform.WorkerID) {
 	w := f.core.workers[id]
 	a, ok := f.looks[id]
-	if ok && w != nil && f.now.Sub(w.lookSentAt) >= lookSlack+a.Order.Wait {
+	if ok && w != nil && f.now.Sub(w.pollSentAt) >= pollSlack+a.Order.Wait {
 		f.fail(string(id), common.ErrNotSent)
 	}
 }
@@ -71,27 +71,27 @@
 const lastingTaskAgainWithin = 4 * time.Second
 
 func TestNextOwnerDoesNotWaitForAHostThatWasRemoved(t *testing.T) {
-	f := newHeir(t)
-	l := f.live(lastingTaskAgainWithin, machineOf("w1", "blue"))
+	f := newTakeoverFixture(t)
+	l := f.passListing(lastingTaskAgainWithin, machineOf("w1", "blue"))
 	require.Len(t, l, 1)
 	require.EqualValues(t, "w1", l[0].Worker.ID)
 }
 
 // A host that is cut off stands in the list: its worker may run on.
 func TestNextOwnerWaitsForAHostThatTheListNames(t *testing.T) {
-	f := newHeir(t)
+	f := newTakeoverFixture(t)
 	there := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
-	require.Empty(t, f.live(inheritedLease-time.Second, there...))
-	require.Len(t, f.live(2*time.Second, there...), 1)
+	require.Empty(t, f.passListing(inheritedLease-time.Second, there...))
+	require.Len(t, f.passListing(2*time.Second, there...), 1)
 }
 
 // The pages of a list are no snapshot: one list that lacks a host says nothing.
-func TestOneListThatLacksAHostSaysNothing(t *testing.T) {
-	f := newHeir(t)
+func TestSingleListWithoutHostIsNotRemoval(t *testing.T) {
+	f := newTakeoverFixture(t)
 	f.fail("w2", common.ErrNotSent)
-	f.machinesAre(machineOf("w1", "blue"))
-	f.machinesAre(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.machinesAre(machineOf("w1", "blue"))
+	f.listMachines(machineOf("w1", "blue"))
+	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
+	f.listMachines(machineOf("w1", "blue"))
 	f.pass(tickEvery)
 	require.Empty(t, f.starts())
 }
@@ -99,21 +99,21 @@
 // A worker whose record is there has begun of late or is about to go: the list may
 // lag behind it.
 func TestWorkerWithARecordIsNotTakenForRemoved(t *testing.T) {
-	f := newHeir(t)
+	f := newTakeoverFixture(t)
 	f.step(WorkerListed{Worker: testWorker("w2")})
-	require.Empty(t, f.live(lastingTaskAgainWithin, machineOf("w1", "blue")))
+	require.Empty(t, f.passListing(lastingTaskAgainWithin, machineOf("w1", "blue")))
 }
 
 // A host that answers is not removed, whatever the list says.
 func TestHostThatAnswersIsNotTakenForRemoved(t *testing.T) {
-	f := newHeir(t)
+	f := newTakeoverFixture(t)
 	task := taskKey{id: idA}.String()
 	for range 20 {
 		f.pass(100 * time.Millisecond)
 		if _, ok := f.looks["w2"]; ok {
-			f.answer("w2", platform.Look{Running: []platform.RunningRow{{Task: task, Run: 7, Percent: 100}}})
+			f.answer("w2", platform.PollReply{Running: []platform.RunningRow{{Task: task, Run: 7, Percent: 100}}})
 		}
-		f.machinesAre(machineOf("w1", "blue"))
+		f.listMachines(machineOf("w1", "blue"))
 	}
 	require.Empty(t, f.starts())
 }
@@ -122,14 +122,14 @@
 func TestLastingTaskOfARemovedHostStartsBeforeItsLeaseHasLapsed(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.workOn(r, time.Second)
+	f.runAtWork(r, time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.out = nil
 	f.fail("w1", common.ErrNotSent)
 	for began := f.now; f.now.Sub(began) < relistedWithin; {
 		require.Empty(t, f.starts(), "its record may have gone with the store")
 		f.pass(listEvery)
-		f.machinesAre(machineOf("w2", "blue"))
+		f.listMachines(machineOf("w2", "blue"))
 	}
 	f.pass(tickEvery)
 	require.Len(t, f.starts(), 1, "well before the four seconds of a lease")
@@ -140,11 +140,11 @@
 	f := newFixture(t)
 	f.join("w1", "w2", "w3")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue"), machineOf("w3", "blue")}
-	f.machinesAre(up...)
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
+	f.listMachines(up...)
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(time.Second)
 	first := f.upkeeps()[0].Machine
-	f.step(MachineOrdered{Machine: first})
+	f.step(MachineOrderResult{Machine: first})
 	var rest []platform.Machine
 	for _, m := range up {
 		if m.Name != first {
@@ -153,14 +153,14 @@
 	}
 	for range 2 {
 		f.pass(listEvery)
-		f.machinesAre(rest...)
+		f.listMachines(rest...)
 	}
 	f.pass(200 * time.Millisecond)
 	l := f.upkeeps()
 	require.Len(t, l, 2, "the removed machine takes none of the cap")
-	f.step(MachineOrdered{Machine: l[1].Machine})
+	f.step(MachineOrderResult{Machine: l[1].Machine})
 	f.pass(time.Second)
-	f.machinesAre(rest...)
+	f.listMachines(rest...)
 	f.pass(200 * time.Millisecond)
 	require.True(t, f.core.waves[4].reported)
 }
@@ -172,17 +172,17 @@
 	f := newFixture(t)
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
-	f.machinesAre(up...)
+	f.listMachines(up...)
 	f.step(WorkerUnlisted{Name: "w1"})
 	began := f.now
-	f.step(WaveAsked{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name}, Within: 20 * time.Second, Cap: 1}})
 	for f.now.Sub(began) < 20*time.Second && len(f.upkeeps()) == 0 {
 		if _, ok := f.looks["w1"]; ok && f.core.workers["w1"] != nil {
 			f.fail("w1", common.ErrUnknown)
 		}
 		f.pass(tickEvery)
 		if f.core.listing {
-			f.machinesAre(up...)
+			f.listMachines(up...)
 		}
 	}
 	require.NotEmpty(t, f.upkeeps(), "within the time of the wave")
--- a/job/roster.go
+++ b/job/roster.go
@@ -18,19 +18,19 @@
 // on a quiet day of 17,672 starts, with the jobs' progress 2.0. A part is some six
 // workers there, and half a kilobyte.
 const (
-	// ownKeys begins all keys that only owners write, beside the jobs' progress.
-	ownKeys = "owner/"
+	// ownerOnlyPrefix begins all keys that only owners write, beside the jobs' progress.
+	ownerOnlyPrefix = "owner/"
 	// rosterPrefix begins the keys of the parts, which end in their number.
-	rosterPrefix = ownKeys + "workers/"
+	rosterPrefix = ownerOnlyPrefix + "workers/"
 	// orderedPrefix begins those of the machines that got orders of late, in parts.
-	orderedPrefix = ownKeys + "ordered/"
-	// wholeRosterKey holds the roster of an owner of an earlier version, as one value.
-	wholeRosterKey = ownKeys + "workers"
-	// rosterParts and orderedParts are how many parts there are, mostParts how many of
+	orderedPrefix = ownerOnlyPrefix + "ordered/"
+	// legacyRosterKey holds the roster of an owner of an earlier version, as one value.
+	legacyRosterKey = ownerOnlyPrefix + "workers"
+	// rosterShards and orderedParts are how many parts there are, mostParts how many of
 	// the workers' go into one write, so that the jobs' progress has room there.
-	rosterParts  = 64
-	orderedParts = 8
-	mostParts    = 14
+	rosterShards      = 64
+	orderedShards     = 8
+	maxShardsPerWrite = 14
 )
 
 // Roster is the workers on which an owner may have started runs. It is kept so
@@ -40,10 +40,10 @@
 	// Ordered are the machines that the owner has given orders to of late, or
 	// is about to: the next owner leaves them alone for a while.
 	Ordered []string `json:"o,omitempty"`
-	// whole says that it was kept as one value.
-	whole bool
-	// unread are the keys of parts that could not be read.
-	unread []string
+	// legacy says that it was kept as one value.
+	legacy bool
+	// unreadableKeys are the keys of parts that could not be read.
+	unreadableKeys []string
 }
 
 // RosterEntry is one worker of a Roster.
@@ -54,25 +54,25 @@
 	Host    string            `json:"h,omitempty"`
 }
 
-func entryOf(w *worker) RosterEntry {
+func rosterEntryOf(w *worker) RosterEntry {
 	return RosterEntry{ID: w.ID, Service: w.Service, Address: w.Address, Host: w.Host}
 }
 
-// rosterPart returns the number of the part that names a worker.
-func rosterPart(id platform.WorkerID) int {
-	return int(xxhash.Sum64String(string(id)) % rosterParts)
+// rosterShard returns the number of the part that names a worker.
+func rosterShard(id platform.WorkerID) int {
+	return int(xxhash.Sum64String(string(id)) % rosterShards)
 }
 
-// orderedPart returns the number of the part that names a machine.
-func orderedPart(machine string) int {
-	return int(xxhash.Sum64String(machine) % orderedParts)
+// orderedShard returns the number of the part that names a machine.
+func orderedShard(machine string) int {
+	return int(xxhash.Sum64String(machine) % orderedShards)
 }
 
-func orderedPartKey(part int) string {
+func orderedShardKey(part int) string {
 	return fmt.Sprintf("%s%d", orderedPrefix, part)
 }
 
-func rosterPartKey(part int) string {
+func rosterShardKey(part int) string {
 	return fmt.Sprintf("%s%02d", rosterPrefix, part)
 }
 
@@ -83,12 +83,12 @@
 	for _, e := range l {
 		var err error
 		switch {
-		case e.Key == wholeRosterKey:
+		case e.Key == legacyRosterKey:
 			var p Roster
 			err = json.Unmarshal(e.Value, &p)
 			r.Workers = append(r.Workers, p.Workers...)
 			r.Ordered = append(r.Ordered, p.Ordered...)
-			r.whole = true
+			r.legacy = true
 		case strings.HasPrefix(e.Key, orderedPrefix):
 			var o []string
 			err = json.Unmarshal(e.Value, &o)
@@ -99,7 +99,7 @@
 			r.Workers = append(r.Workers, p...)
 		}
 		if err != nil {
-			r.unread = append(r.unread, e.Key)
+			r.unreadableKeys = append(r.unreadableKeys, e.Key)
 		}
 	}
 	return r
@@ -107,8 +107,8 @@
 
 // rosterChanges are what of the roster has yet to be written.
 type rosterChanges struct {
-	parts   [rosterParts]bool
-	ordered [orderedParts]bool
+	shards  [rosterShards]bool
+	ordered [orderedShards]bool
 }
 
 // any reports whether anything is to be written.
@@ -116,139 +116,139 @@
 	return r != rosterChanges{}
 }
 
-// some returns the changes that go into one write, and what is left.
-func (r rosterChanges) some() (now, later rosterChanges) {
+// split returns the changes that go into one write, and what is left.
+func (r rosterChanges) split() (now, later rosterChanges) {
 	now.ordered = r.ordered
 	n := 0
-	for p, changed := range r.parts {
+	for p, changed := range r.shards {
 		switch {
 		case !changed:
-		case n < mostParts:
-			now.parts[p] = true
+		case n < maxShardsPerWrite:
+			now.shards[p] = true
 			n++
 		default:
-			later.parts[p] = true
+			later.shards[p] = true
 		}
 	}
 	return now, later
 }
 
-// inherit adds the workers that an earlier owner may have runs on. What the store holds
+// inheritRoster adds the workers that an earlier owner may have runs on. What the store holds
 // of them holds for this owner as well: those named as they are may get starts at once.
-func (c *Core) inherit(r Roster) {
-	if len(r.unread) > 0 {
-		c.unreadUntil = c.now.Add(inheritedLease)
-		c.do(Note{What: "roster not read", Why: "jobs of earlier owners wait until all leases must have lapsed", Inputs: []any{"keys", strings.Join(r.unread, " ")}})
+func (c *Core) inheritRoster(r Roster) {
+	if len(r.unreadableKeys) > 0 {
+		c.rosterUnknownUntil = c.now.Add(inheritedLease)
+		c.emit(LogLine{What: "roster not read", Why: "jobs of earlier owners wait until all leases must have lapsed", Fields: []any{"keys", strings.Join(r.unreadableKeys, " ")}})
 	}
 	named := map[platform.WorkerID]bool{}
 	for _, e := range r.Workers {
-		e.ID = c.keptAs(e.ID)
+		e.ID = c.resolveID(e.ID)
 		w := c.workers[e.ID]
 		if w == nil {
 			w = newWorker(platform.Worker{ID: e.ID, Service: e.Service, Address: e.Address, Host: e.Host}, c.now)
 			c.addWorker(w)
 		}
 		w.inherited = true
-		w.rostered = !r.whole && e == entryOf(w)
+		w.inRoster = !r.legacy && e == rosterEntryOf(w)
 		named[e.ID] = true
 	}
 	for id, w := range c.workers {
-		if (!named[id] || !w.rostered) && !c.dormant(w) {
-			c.keepRoster(w)
+		if (!named[id] || !w.inRoster) && !c.dormant(w) {
+			c.markRosterDirty(w)
 		}
 	}
-	if r.whole {
-		c.write(nil, []string{wholeRosterKey})
+	if r.legacy {
+		c.queueWrite(nil, []string{legacyRosterKey})
 	}
 }
 
-// keepRoster has the part of the roster written that names the worker, or no longer
+// markRosterDirty has the part of the roster written that names the worker, or no longer
 // does. A worker gets its first start after that.
-func (c *Core) keepRoster(w *worker) {
-	c.roster.parts[rosterPart(w.ID)] = true
+func (c *Core) markRosterDirty(w *worker) {
+	c.roster.shards[rosterShard(w.ID)] = true
 	c.writeSoon()
 }
 
-// keepOrdered has the part written that names a machine which is to get an order.
-func (c *Core) keepOrdered(m *machine) {
-	c.roster.ordered[orderedPart(m.Name)] = true
+// markOrderedDirty has the part written that names a machine which is to get an order.
+func (c *Core) markOrderedDirty(m *machine) {
+	c.roster.ordered[orderedShard(m.Name)] = true
 	c.writeSoon()
 }
 
 // writeSoon has what has changed written without waiting for more.
 func (c *Core) writeSoon() {
-	if c.dueAt.IsZero() {
-		c.dueAt = c.now
+	if c.writeDueAt.IsZero() {
+		c.writeDueAt = c.now
 	}
-	c.urgent = true
+	c.writeUrgent = true
 }
 
-// keepRosterNow puts what has changed of the roster into the write.
-func (c *Core) keepRosterNow(k *kept) {
-	k.changes, c.roster = c.roster.some()
-	c.putOrdered(k)
-	c.putParts(k)
+// addRoster puts what has changed of the roster into the write.
+func (c *Core) addRoster(k *storeWrite) {
+	k.changes, c.roster = c.roster.split()
+	c.addOrdered(k)
+	c.addRosterShards(k)
 }
 
-// putOrdered puts the changed parts of the ordered machines into the write.
-func (c *Core) putOrdered(k *kept) {
-	if k.changes.ordered == [orderedParts]bool{} {
+// addOrdered puts the changed parts of the ordered machines into the write.
+func (c *Core) addOrdered(k *storeWrite) {
+	if k.changes.ordered == [orderedShards]bool{} {
 		return
 	}
-	var names [orderedParts][]string
-	for _, n := range c.lately() {
-		p := orderedPart(n)
+	var names [orderedShards][]string
+	for _, n := range c.recentlyOrdered() {
+		p := orderedShard(n)
 		names[p] = append(names[p], n)
 	}
 	for p, changed := range k.changes.ordered {
 		if changed {
-			k.ordered = append(k.ordered, names[p]...)
-			c.putJSON(k, orderedPartKey(p), names[p])
+			k.machines = append(k.machines, names[p]...)
+			c.addJSON(k, orderedShardKey(p), names[p])
 		}
 	}
 }
 
-// putParts puts the changed parts of the workers into the write.
-func (c *Core) putParts(k *kept) {
-	if k.changes.parts == [rosterParts]bool{} {
+// addRosterShards puts the changed parts of the workers into the write.
+func (c *Core) addRosterShards(k *storeWrite) {
+	if k.changes.shards == [rosterShards]bool{} {
 		return
 	}
-	var entries [rosterParts][]RosterEntry
+	var entries [rosterShards][]RosterEntry
 	for id, w := range c.workers {
-		if p := rosterPart(id); k.changes.parts[p] && !w.retired {
-			entries[p] = append(entries[p], entryOf(w))
-			k.rostered = append(k.rostered, w)
+		if p := rosterShard(id); k.changes.shards[p] && !w.offRoster {
+			entries[p] = append(entries[p], rosterEntryOf(w))
+			k.workers = append(k.workers, w)
 		}
 	}
-	for p, changed := range k.changes.parts {
+	for p, changed := range k.changes.shards {
 		if changed {
 			slices.SortFunc(entries[p], func(a, b RosterEntry) int { return strings.Compare(string(a.ID), string(b.ID)) })
-			c.putJSON(k, rosterPartKey(p), entries[p])
+			c.addJSON(k, rosterShardKey(p), entries[p])
 		}
 	}
 }
 
-// putJSON adds a value to the write.
-func (c *Core) putJSON(k *kept, key string, v any) {
+// addJSON adds a value to the write.
+func (c *Core) addJSON(k *storeWrite, key string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		c.do(Note{What: "roster not encoded", Why: err.Error()})
+		c.emit(LogLine{What: "roster not encoded", Why: err.Error()})
 		return
 	}
 	k.puts = append(k.puts, platform.Put{Key: key, Value: b})
 }
 
-// keepRosterAgain has what a failed write held of the roster written once more.
-func (c *Core) keepRosterAgain(k *kept) {
-	for p, failed := range k.changes.parts {
-		c.roster.parts[p] = c.roster.parts[p] || failed
+// requeueRoster has what a failed write held of the roster written once more.
+func (c *Core) requeueRoster(k *storeWrite) {
+	for p, failed := range k.changes.shards {
+		c.roster.shards[p] = c.roster.shards[p] || failed
 	}
 	for p, failed := range k.changes.ordered {
 		c.roster.ordered[p] = c.roster.ordered[p] || failed
 	}
 }
 
-// rosterOwns reports whether the key is written anew from the roster as it is.
-func rosterOwns(key string) bool {
+// isRosterKey reports whether the key is written anew from the roster as it is.
+func isRosterKey(key string) bool {
 	return strings.HasPrefix(key, orderedPrefix) || strings.HasPrefix(key, rosterPrefix)
 }
--- a/job/roster_test.go
+++ b/job/roster_test.go
@@ -14,7 +14,7 @@
 func (f *fixture) written() int {
 	n := 0
 	for _, a := range f.out {
-		if k, ok := a.(Keep); ok {
+		if k, ok := a.(WriteStore); ok {
 			for _, p := range k.Puts {
 				n += len(p.Value)
 			}
@@ -24,9 +24,9 @@
 	return n
 }
 
-// TestRosterIsWrittenByItsPartsOnly adds a worker to many: written whole, the roster of
+// TestOnlyChangedRosterShardsAreWritten adds a worker to many: written whole, the roster of
 // 400 takes 30 kB for each that comes or goes.
-func TestRosterIsWrittenByItsPartsOnly(t *testing.T) {
+func TestOnlyChangedRosterShardsAreWritten(t *testing.T) {
 	f := newFixture(t)
 	var l []platform.Worker
 	for i := range 400 {
@@ -38,13 +38,13 @@
 	whole := f.written()
 	f.step(WorkerListed{Worker: testWorker("another")})
 	f.pass(time.Second)
-	require.True(t, f.roster().names("another"))
+	require.True(t, f.roster().has("another"))
 	require.Less(t, f.written(), whole/10)
 }
 
-// TestNextOwnerNeedsNotWriteARosterThatStands has an owner take over what the one before
+// TestNextOwnerDoesNotRewriteAnUnchangedRoster has an owner take over what the one before
 // has written: workers that are named as they are may get starts at once.
-func TestNextOwnerNeedsNotWriteARosterThatStands(t *testing.T) {
+func TestNextOwnerDoesNotRewriteAnUnchangedRoster(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
 	f.pass(time.Second)
@@ -52,7 +52,7 @@
 	next.holdWrites = true
 	next.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1"), testWorker("w2"), testWorker("w3")}, Roster: f.roster()})
 	for _, id := range []string{"w1", "w2", "w3"} {
-		next.answer(id, platform.Look{})
+		next.answer(id, platform.PollReply{})
 	}
 	s := oneTask()
 	s.Count = 12
@@ -62,41 +62,41 @@
 	for _, r := range l {
 		require.NotEqual(t, platform.WorkerID("w3"), r.Worker.ID, "no next owner would know of it")
 	}
-	next.step(Kept{Number: next.core.number})
+	next.step(WriteResult{Number: next.core.writeNumber})
 	next.pass(tickEvery)
 	require.Len(t, next.starts(), 4)
 }
 
-// TestRosterOfAnEarlierVersionIsTakenOver reads the one value that was kept before there
+// TestLegacyRosterIsConverted reads the one value that was kept before there
 // were parts, and replaces it.
-func TestRosterOfAnEarlierVersionIsTakenOver(t *testing.T) {
+func TestLegacyRosterIsConverted(t *testing.T) {
 	b := `{"w":[{"i":"w1","s":"blue","a":"10.0.0.1:80","h":"host-of-w1"}],"o":["host-of-w9"]}`
-	r := readRoster([]platform.Entry{{Key: wholeRosterKey, Value: []byte(b)}, {Key: writeKey, Value: []byte("7.1")}})
+	r := readRoster([]platform.Entry{{Key: legacyRosterKey, Value: []byte(b)}, {Key: writeKey, Value: []byte("7.1")}})
 	require.Equal(t, []string{"host-of-w9"}, r.Ordered)
 	f := newFixture(t)
-	f.own[wholeRosterKey] = []byte(b)
+	f.ownerKeys[legacyRosterKey] = []byte(b)
 	f.step(Inherited{Config: testConfig(), Roster: r})
 	f.pass(time.Second)
-	require.NotContains(t, f.own, wholeRosterKey)
-	require.True(t, f.roster().names("w1"))
+	require.NotContains(t, f.ownerKeys, legacyRosterKey)
+	require.True(t, f.roster().has("w1"))
 }
 
-// TestFailedWriteOfTheRosterIsMadeAgain loses a write that holds parts of it.
-func TestFailedWriteOfTheRosterIsMadeAgain(t *testing.T) {
+// TestFailedRosterWriteIsRetried loses a write that holds parts of it.
+func TestFailedRosterWriteIsRetried(t *testing.T) {
 	f := newFixture(t)
 	f.holdWrites = true
 	f.step(WorkerListed{Worker: testWorker("w1")})
-	f.own = ownStore{}
-	f.step(Kept{Number: f.core.number, Err: platform.ErrRefused})
+	f.ownerKeys = ownerStore{}
+	f.step(WriteResult{Number: f.core.writeNumber, Err: platform.ErrRefused})
 	f.holdWrites = false
-	f.pass(2 * keepRetry)
-	require.True(t, f.roster().names("w1"))
-	require.True(t, f.core.workers["w1"].rostered)
+	f.pass(2 * writeRetry)
+	require.True(t, f.roster().has("w1"))
+	require.True(t, f.core.workers["w1"].inRoster)
 }
 
-// TestWriteHoldsAsManyJobsAsItHasRoomFor has 25 jobs of which one task each has ended:
+// TestWriteHoldsAsManyJobsAsFit has 25 jobs of which one task each has ended:
 // they take an entry each, a final job three.
-func TestWriteHoldsAsManyJobsAsItHasRoomFor(t *testing.T) {
+func TestWriteHoldsAsManyJobsAsFit(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
 	s := oneTask()
@@ -113,11 +113,11 @@
 	f.pass(time.Second)
 	f.out = nil
 	f.holdWrites = true
-	f.answer("w1", platform.Look{Ended: rows})
+	f.answer("w1", platform.PollReply{Ended: rows})
 	f.pass(200 * time.Millisecond)
 	var puts []platform.Put
 	for _, a := range f.out {
-		if k, ok := a.(Keep); ok {
+		if k, ok := a.(WriteStore); ok {
 			puts = append(puts, k.Puts...)
 		}
 	}
--- a/job/serve.go
+++ b/job/serve.go
@@ -9,8 +9,8 @@
 	"amberway/platform"
 )
 
-func (n *Node) ownState(id ID) (platform.State, bool, bool) {
-	o := n.owned()
+func (n *Node) localState(id ID) (platform.State, bool, bool) {
+	o := n.localOwner()
 	if o == nil || !o.loaded.Load() {
 		return "", false, false
 	}
@@ -20,8 +20,8 @@
 	return s, known, true
 }
 
-func (n *Node) ownWaiting(queue string) (int, bool) {
-	o := n.owned()
+func (n *Node) localWaiting(queue string) (int, bool) {
+	o := n.localOwner()
 	if o == nil || !o.loaded.Load() {
 		// An owner that is still reading would count too few.
 		return 0, false
@@ -33,7 +33,7 @@
 
 // state returns a job's state from the owner, or from the store.
 func (n *Node) state(ctx context.Context, id ID) (platform.State, bool, error) {
-	if s, known, owns := n.ownState(id); owns && known {
+	if s, known, owns := n.localState(id); owns && known {
 		return s, true, nil
 	}
 	if o := n.election.owner(); o.Name != "" && o.Name != n.settings.Name {
@@ -48,7 +48,7 @@
 // storedState returns a job's state as the store has it. The record is read
 // first, since a job that ends loses it as its progress becomes final.
 func (n *Node) storedState(ctx context.Context, id ID) (platform.State, bool, error) {
-	_, err := n.KV.Get(ctx, newKey(id))
+	_, err := n.KV.Get(ctx, recordKey(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return "", false, err
 	}
@@ -65,7 +65,7 @@
 }
 
 func (n *Node) waiting(ctx context.Context, queue string) (int, error) {
-	if c, owns := n.ownWaiting(queue); owns {
+	if c, owns := n.localWaiting(queue); owns {
 		return c, nil
 	}
 	o := n.election.owner()
@@ -82,7 +82,7 @@
 	v, err := n.intake.accept(ctx, id, r, deadline)
 	n.metrics.intake.Add(ctx, 1, label("verdict", v.String()))
 	if err != nil {
-		n.log.Write(Note{What: "job not taken", Job: id, Why: err.Error()})
+		n.log.Write(LogLine{What: "job not taken", Job: id, Why: err.Error()})
 	}
 	if v != common.NotRun {
 		return v
@@ -93,7 +93,7 @@
 	}
 	v, err = n.peers.accept(ctx, o.Peer, id, r)
 	if err != nil {
-		n.log.Write(Note{What: "job not relayed", Job: id, Why: err.Error(), Inputs: []any{"to", o.Name}})
+		n.log.Write(LogLine{What: "job not relayed", Job: id, Why: err.Error(), Fields: []any{"to", o.Name}})
 	}
 	return v
 }
@@ -101,7 +101,7 @@
 // fullUntil returns when the caller of a job is to come back, or false where its queue is
 // not full. A job that was taken before is not refused: this may be a copy of it.
 func (n *Node) fullUntil(ctx context.Context, id ID, c caller) (time.Time, bool) {
-	at, why, full := n.election.fullUntil(id, c)
+	at, why, full := n.election.refusedUntil(id, c)
 	if !full {
 		return time.Time{}, false
 	}
@@ -110,8 +110,8 @@
 		return time.Time{}, false
 	}
 	n.metrics.intake.Add(ctx, 1, label("verdict", "full"))
-	n.refusals.note(Refusal{ID: id, Why: why, At: n.now()}, c.team.Name)
-	n.log.Write(Note{What: "job refused", Job: id, Why: why, Inputs: []any{"queue", c.queue.Name, "team", c.team.Name, "back_ms", at.Sub(n.now()).Milliseconds()}})
+	n.refusals.add(Refusal{ID: id, Why: why, At: n.now()}, c.team.Name)
+	n.log.Write(LogLine{What: "job refused", Job: id, Why: why, Fields: []any{"queue", c.queue.Name, "team", c.team.Name, "back_ms", at.Sub(n.now()).Milliseconds()}})
 	return at, true
 }
 
@@ -129,7 +129,7 @@
 // cancelHere marks a job as cancelled, unless it is final or not known.
 func (n *Node) cancelHere(ctx context.Context, id ID) (bool, error) {
 	for {
-		e, err := n.KV.Get(ctx, newKey(id))
+		e, err := n.KV.Get(ctx, recordKey(id))
 		if errors.Is(err, platform.ErrNotFound) {
 			_, err = n.KV.Get(ctx, progressKey(id))
 			if errors.Is(err, platform.ErrNotFound) {
@@ -149,7 +149,7 @@
 			continue
 		}
 		if err == nil {
-			n.log.Write(Note{What: "cancel", Job: id})
+			n.log.Write(LogLine{What: "cancel", Job: id})
 		}
 		return err == nil, err
 	}
