--- a/job/served.go
+++ b/job/served.go
@@ -4,19 +4,19 @@
 	"slices"
 )
 
-// served counts the jobs that were done, by whether they were in time.
-type served struct {
+// servedCounts counts the jobs that were done, by whether they were in time.
+type servedCounts struct {
 	inTime, late int
 }
 
-// noteServed counts a job that is done. Jobs with times and lasting ones have no time in
+// recordServed counts a job that is done. Jobs with times and lasting ones have no time in
 // which they are to be done.
-func (c *Core) noteServed(j *job, n *instance) {
+func (c *Core) recordServed(j *job, n *instance) {
 	if j.Times > 0 {
 		return
 	}
-	inTime := !c.now.After(c.dueBy(j, n))
-	c.do(Note{What: noteServed, Job: j.id, Inputs: []any{"in_time", inTime, "data_centre", j.DataCentre, "team", j.Team}})
+	inTime := !c.now.After(c.deadline(j, n))
+	c.emit(LogLine{What: whatJobServed, Job: j.id, Fields: []any{"in_time", inTime, "data_centre", j.DataCentre, "team", j.Team}})
 	switch {
 	case j.team == nil:
 	case inTime:
@@ -26,8 +26,8 @@
 	}
 }
 
-// noteServed is the name of the line for a job that is done.
-const noteServed = "job served"
+// whatJobServed is the name of the line for a job that is done.
+const whatJobServed = "job served"
 
 // worstTenth returns the share of jobs in time of the worst-served tenth of the teams, one
 // at least, or false where no team has been served.
@@ -52,7 +52,7 @@
 
 // worstTenth returns the worst-served tenth of teams where this host owns.
 func (n *Node) worstTenth() (float64, bool) {
-	o := n.owned()
+	o := n.localOwner()
 	if o == nil {
 		return 0, false
 	}
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -10,9 +10,9 @@
 	"amberway/platform"
 )
 
-// weighed is testConfig with two teams of which "paint" may send ten jobs a second and
+// weightedConfig is testConfig with two teams of which "paint" may send ten jobs a second and
 // "tint" one.
-func weighed() *platform.Deployed {
+func weightedConfig() *platform.Deployed {
 	d := testConfig()
 	d.Version = 2
 	d.Teams = []platform.Team{{Name: "paint", Weight: 10}, {Name: "tint", Weight: 1}}
@@ -25,7 +25,7 @@
 // 2.5 a second within its own.
 func TestJobsBeyondAShareWaitBehindOthers(t *testing.T) {
 	f := newFixture(t)
-	f.step(ConfigTaken{Config: weighed()})
+	f.step(ConfigChanged{Config: weightedConfig()})
 	f.join("w1")
 	began := map[string]int{}
 	n := 0
@@ -53,10 +53,10 @@
 // endAll answers the look at a worker: what has run for a second has ended.
 func (f *fixture) endAll(id string) {
 	w := f.core.workers[platform.WorkerID(id)]
-	var l platform.Look
+	var l platform.PollReply
 	for _, r := range w.runs {
 		if f.now.Sub(r.sentAt) >= time.Second {
-			l.Ended = append(l.Ended, platform.EndedRow{Number: w.seen + int64(len(l.Ended)) + 1, Task: r.task.key().String(), Run: r.number, How: platform.EndDone})
+			l.Ended = append(l.Ended, platform.EndedRow{Number: w.lastEndSeen + int64(len(l.Ended)) + 1, Task: r.task.key().String(), Run: r.number, How: platform.EndDone})
 		} else {
 			l.Running = append(l.Running, platform.RunningRow{Task: r.task.key().String(), Run: r.number, Percent: 50})
 		}
@@ -69,20 +69,20 @@
 // What is beyond a share waits for ten seconds at most, however much others send.
 func TestJobsBeyondAShareDoNotWaitForEver(t *testing.T) {
 	f := newFixture(t)
-	f.step(ConfigTaken{Config: weighed()})
+	f.step(ConfigChanged{Config: weightedConfig()})
 	for i := range 2 {
 		f.handIn(fmt.Sprintf("%016x", i+2), "tint", "quick", tasksOf(1))
 	}
 	last := f.core.jobs["0000000000000003"]
 	require.True(t, f.core.beyondShare(last))
 	require.False(t, f.core.beyondShare(f.core.jobs["0000000000000002"]))
-	f.pass(shareWaits)
+	f.pass(maxShareWait)
 	require.False(t, f.core.beyondShare(last))
 }
 
 func TestShareIsSavedUpForASecond(t *testing.T) {
 	l := newTeams()
-	l.take([]platform.Team{{Name: "paint", Weight: 2}})
+	l.update([]platform.Team{{Name: "paint", Weight: 2}})
 	p := l.find("paint")
 	now := time.Unix(1e9, 0)
 	spent := func() (n int) {
@@ -105,7 +105,7 @@
 // again once it does not.
 func TestTeamBeyondItsShareIsRefusedFirst(t *testing.T) {
 	f := newNarrowFixture(t)
-	f.step(ConfigTaken{Config: weighed()})
+	f.step(ConfigChanged{Config: weightedConfig()})
 	f.run(2 * time.Second)
 	s := oneTask()
 	s.Count = 10
@@ -115,16 +115,16 @@
 			f.run(100 * time.Millisecond)
 		}
 	}
-	full := f.saidFull()
+	full := f.publishedPolicy()
 	require.Contains(t, full.Admissions, patient)
-	require.Less(t, full.Parts["tint"], 0.2)
-	require.Positive(t, full.Parts["tint"])
-	require.Greater(t, full.Parts["paint"], 3*full.Parts["tint"], "it sends twice its share, the other sixty times")
+	require.Less(t, full.TeamFractions["tint"], 0.2)
+	require.Positive(t, full.TeamFractions["tint"])
+	require.Greater(t, full.TeamFractions["paint"], 3*full.TeamFractions["tint"], "it sends twice its share, the other sixty times")
 	e := newElection(nil, Owner{}, Size{}, nil, time.Now, neverSuspended)
-	e.full = Full{Admissions: map[int]Admission{quick: {Share: 1}}, Parts: map[string]float64{"tint": 0.1}}
+	e.admission = AdmissionPolicy{Admissions: map[int]Admission{quick: {Fraction: 1}}, TeamFractions: map[string]float64{"tint": 0.1}}
 	taken := func(team string) (n int) {
 		for i := range 100 {
-			if _, _, refused := e.fullUntil(ID(fmt.Sprintf("%016x", i)), caller{team: platform.Team{Name: team}}); !refused {
+			if _, _, refused := e.refusedUntil(ID(fmt.Sprintf("%016x", i)), caller{team: platform.Team{Name: team}}); !refused {
 				n++
 			}
 		}
@@ -133,8 +133,8 @@
 	require.Equal(t, 100, taken("paint"))
 	require.InDelta(t, 10, taken("tint"), 8)
 	for i := range 200 {
-		f.step(CancelAsked{ID: ID(fmt.Sprintf("%016x", i))})
+		f.step(CancelRequested{ID: ID(fmt.Sprintf("%016x", i))})
 	}
 	f.run(4 * time.Second)
-	require.Empty(t, f.saidFull().Parts)
+	require.Empty(t, f.publishedPolicy().TeamFractions)
 }
--- a/job/silence_test.go
+++ b/job/silence_test.go
@@ -87,20 +87,20 @@
 			o := s.claim(t, "entry")
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			o.end = stop
+			o.cancel = stop
 			go o.renew(ctx)
 			s.keepIdle(t, 6)
 			require.Eventually(t, func() bool { return o.sinceRenewal() < renewEvery/2 }, time.Second, time.Millisecond)
 			require.GreaterOrEqual(t, s.Silence(w), 6)
 			require.Never(t, func() bool { return o.sinceRenewal() > 3*ownerTTL/4 }, 2*ownerTTL, 5*time.Millisecond)
-			require.NoError(t, ctx.Err(), o.why)
+			require.NoError(t, ctx.Err(), o.resignReason)
 		})
 	}
 }
 
 // Questions to the owner are answered in their time, and what is handed on for a
 // caller is lost once at most.
-func TestOneTimeOutIsPaidBetweenEntryHosts(t *testing.T) {
+func TestSilentPeerConnectionsCostOneTimeout(t *testing.T) {
 	const conns = peerConns
 	var together sync.WaitGroup
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -170,9 +170,9 @@
 	const slow = 250 * time.Millisecond
 	for _, c := range []time.Duration{1250 * time.Millisecond, 2 * time.Second, 4 * time.Second, time.Minute} {
 		w := configWatch(c)
-		require.Less(t, w.within, c)
-		require.Less(t, w.within, readyWithout)
-		require.GreaterOrEqual(t, w.within-w.wait, 2*slow)
+		require.Less(t, w.timeout, c)
+		require.Less(t, w.timeout, maxStoreSilence)
+		require.GreaterOrEqual(t, w.timeout-w.wait, 2*slow)
 	}
 	require.Greater(t, configWatch(4*time.Second).wait, configWatch(2*time.Second).wait)
 }
--- a/job/slow.go
+++ b/job/slow.go
@@ -11,67 +11,67 @@
 const (
 	// slowAfter is how long a run goes on before its pace is judged.
 	slowAfter = 800 * time.Millisecond
-	// slowBy is how many times its expected time a run may still need before it
+	// slowRestFactor is how many times its expected time a run may still need before it
 	// is better begun anew elsewhere.
-	slowBy = 2
-	// slowTimes is how many times longer than others a run has to take for its
+	slowRestFactor = 2
+	// slowRunFactor is how many times longer than others a run has to take for its
 	// worker to be slow. One task in a thousand does by chance.
-	slowTimes = 2.5
-	// slowAlone is the same, against what was expected, where no other task tells:
+	slowRunFactor = 2.5
+	// slowRunFactorAlone is the same, against what was expected, where no other task tells:
 	// more than any estimate is off.
-	slowAlone = 8
-	// slowWitnesses is the fewest others that speak for or against a worker.
-	slowWitnesses = 2
+	slowRunFactorAlone = 8
+	// minSlowSamples is the fewest others that speak for or against a worker.
+	minSlowSamples = 2
 )
 
-// crawls reports whether the run is better begun anew elsewhere: it needs much
+// tooSlow reports whether the run is better begun anew elsewhere: it needs much
 // longer for the rest than the whole task is expected to take, and by other tasks
 // that is its worker's fault. A task moves for that once.
-func (c *Core) crawls(r *run) bool {
+func (c *Core) tooSlow(r *run) bool {
 	t := r.task
-	if t.of.Lasting || t.of.Fills || t.moved || t.of.Gang {
+	if t.of.Lasting || t.of.BestEffort || t.moved || t.of.Gang {
 		return false
 	}
-	total, ok := r.total()
-	went := r.heardAt.Sub(r.sentAt)
-	if !ok || went < slowAfter || total-went <= slowBy*c.expect(t.of.of.job, t.of.Step)+slowAfter {
+	total, ok := r.projectedTime()
+	went := r.reportedAt.Sub(r.sentAt)
+	if !ok || went < slowAfter || total-went <= slowRestFactor*c.expectedRunTime(t.of.of.job, t.of.Step)+slowAfter {
 		return false
 	}
-	return c.slowFor(r, total) && c.roomElsewhere(r.at, t)
+	return c.workerSlow(r, total) && c.roomElsewhere(r.at, t)
 }
 
-// total returns how long the run will have taken, by what its worker has last said
+// projectedTime returns how long the run will have taken, by what its worker has last said
 // of it. It reports false where the worker has not said enough.
-func (r *run) total() (time.Duration, bool) {
-	done := r.percent - r.adoptedAt
+func (r *run) projectedTime() (time.Duration, bool) {
+	done := r.percent - r.adoptedPercent
 	if r.phase != running || done <= 0 {
 		return 0, false
 	}
-	return r.heardAt.Sub(r.sentAt) * time.Duration(100-r.adoptedAt) / time.Duration(done), true
+	return r.reportedAt.Sub(r.sentAt) * time.Duration(100-r.adoptedPercent) / time.Duration(done), true
 }
 
-// slowFor reports whether the run takes so long for its worker's sake: tasks of its
+// workerSlow reports whether the run takes so long for its worker's sake: tasks of its
 // step take much less elsewhere or, where there are none, its worker is slow with
 // other jobs as well. Where neither tells, it has to be slow beyond all doubt.
-func (c *Core) slowFor(r *run, total time.Duration) bool {
-	if l := r.task.of.elsewhere(r.at); len(l) >= slowWitnesses {
-		return float64(total) > slowTimes*float64(median(l))
+func (c *Core) workerSlow(r *run, total time.Duration) bool {
+	if l := r.task.of.timesElsewhere(r.at); len(l) >= minSlowSamples {
+		return float64(total) > slowRunFactor*float64(median(l))
 	}
-	if l := c.otherJobs(r); len(l) >= slowWitnesses {
-		return median(l) > slowTimes
+	if l := c.otherJobSlowdowns(r); len(l) >= minSlowSamples {
+		return median(l) > slowRunFactor
 	}
-	return total > slowAlone*c.expect(r.task.of.of.job, r.task.of.Step)
+	return total > slowRunFactorAlone*c.expectedRunTime(r.task.of.of.job, r.task.of.Step)
 }
 
-// elsewhere returns how long tasks of the step take on other workers.
-func (s *step) elsewhere(w *worker) []time.Duration {
+// timesElsewhere returns how long tasks of the step take on other workers.
+func (s *step) timesElsewhere(w *worker) []time.Duration {
 	var l []time.Duration
 	for _, t := range s.tasks {
 		if !t.doneAt.IsZero() && t.doneOn != w.ID {
 			l = append(l, t.doneAt.Sub(t.begunAt))
 		}
 		for _, r := range t.runs {
-			if total, ok := r.total(); ok && r.at != w {
+			if total, ok := r.projectedTime(); ok && r.at != w {
 				l = append(l, total)
 			}
 		}
@@ -79,14 +79,14 @@
 	return l
 }
 
-// otherJobs returns how many times as long as expected other jobs take on the
+// otherJobSlowdowns returns how many times as long as expected other jobs take on the
 // run's worker.
-func (c *Core) otherJobs(r *run) []float64 {
+func (c *Core) otherJobSlowdowns(r *run) []float64 {
 	var l []float64
 	for _, o := range r.at.runs {
 		j := o.task.of.of.job
-		e := c.expect(j, o.task.of.Step)
-		if total, ok := o.total(); ok && e > 0 && j != r.task.of.of.job && !o.task.of.Lasting {
+		e := c.expectedRunTime(j, o.task.of.Step)
+		if total, ok := o.projectedTime(); ok && e > 0 && j != r.task.of.of.job && !o.task.of.Lasting {
 			l = append(l, float64(total)/float64(e))
 		}
 	}
--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -11,14 +11,14 @@
 	"amberway/platform"
 )
 
-// TestHostWhoseEndsAreNotWrittenIsNotLeftOutOfTheRoster has a store that takes a write
+// TestHostWithUnwrittenEndsStaysInTheRoster has a store that takes a write
 // now and then, while many jobs end: a host that idles meanwhile is to be given back.
 // A next owner that does not find it in the roster would start its tasks anew, although
 // the host goes on telling that they have ended.
-func TestHostWhoseEndsAreNotWrittenIsNotLeftOutOfTheRoster(t *testing.T) {
+func TestHostWithUnwrittenEndsStaysInTheRoster(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
-	f.machinesAre(machineOf("w1", "blue"))
+	f.listMachines(machineOf("w1", "blue"))
 	// More jobs than one write holds.
 	const manyJobs = platform.MaxTxn
 	var rows []platform.EndedRow
@@ -36,45 +36,45 @@
 	require.Len(t, rows, manyJobs)
 	f.pass(200 * time.Millisecond)
 	f.holdWrites = true
-	f.answer("w1", platform.Look{Ended: rows})
-	require.True(t, f.core.workers["w1"].owes())
-	f.core.order(f.core.byName["host-of-w1"], &machineOrder{pool: "spare"})
+	f.answer("w1", platform.PollReply{Ended: rows})
+	require.True(t, f.core.workers["w1"].hasUnstoredEnds())
+	f.core.recordOrder(f.core.machinesByName["host-of-w1"], &machineOrder{pool: "spare"})
 	f.pass(100 * time.Millisecond)
-	require.True(t, f.roster().names("w1"), "the write holds the ends of some jobs only")
+	require.True(t, f.roster().has("w1"), "the write holds the ends of some jobs only")
 }
 
-// TestLastingRunWhoseStartWasNotAnsweredIsNotStoppedUnheard has an owner whose answers
+// TestLastingRunWithUnansweredStartIsNotStoppedBeforeAPoll has an owner whose answers
 // come late: the run that it does not know of may be at work long since.
-func TestLastingRunWhoseStartWasNotAnsweredIsNotStoppedUnheard(t *testing.T) {
+func TestLastingRunWithUnansweredStartIsNotStoppedBeforeAPoll(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
 	s := oneTask()
-	s.Count, s.Lasting, s.MayMiss = 2, true, 1
+	s.Count, s.Lasting, s.MaxUnavailable = 2, true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
 	require.Len(t, l, 2)
 	for _, r := range l {
-		f.step(Started{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknown})
+		f.step(StartResult{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknown})
 	}
 	f.pass(settleAfter + 100*time.Millisecond)
 	require.Empty(t, f.stops(), "both may be at work")
-	f.answer(string(l[0].Worker.ID), platform.Look{Running: []platform.RunningRow{runningRow(l[0], 100), runningRow(l[1], 100)}})
+	f.answer(string(l[0].Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100), runningRow(l[1], 100)}})
 	f.pass(settleAfter + 100*time.Millisecond)
 	require.Empty(t, f.stops(), "both are")
 }
 
-// TestLastingRunThatIsNotThereIsStoppedAfterALostAnswer settles an order that may be
+// TestAbsentLastingRunIsStoppedAfterALostAnswer settles an order that may be
 // carried out late: a stop makes it impossible, once a look shows that it ends nothing.
-func TestLastingRunThatIsNotThereIsStoppedAfterALostAnswer(t *testing.T) {
+func TestAbsentLastingRunIsStoppedAfterALostAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
 	s := oneTask()
-	s.Lasting, s.MayMiss = true, 1
+	s.Lasting, s.MaxUnavailable = true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
-	f.step(Started{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: common.ErrUnknown})
+	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: common.ErrUnknown})
 	f.pass(100 * time.Millisecond)
-	f.answer("w1", platform.Look{})
+	f.answer("w1", platform.PollReply{})
 	f.pass(settleAfter + 100*time.Millisecond)
 	require.Len(t, f.stops(), 1)
 }
--- a/job/slow_test.go
+++ b/job/slow_test.go
@@ -26,13 +26,13 @@
 	return l
 }
 
-// tell answers the look at a worker: all its runs are at the percent.
-func (f *fixture) tell(w platform.WorkerID, l []StartRun, percent int) {
+// reportPercent answers the look at a worker: all its runs are at the percent.
+func (f *fixture) reportPercent(w platform.WorkerID, l []StartRun, percent int) {
 	var rows []platform.RunningRow
 	for _, r := range l {
 		rows = append(rows, runningRow(r, percent))
 	}
-	f.answer(string(w), platform.Look{Running: rows})
+	f.answer(string(w), platform.PollReply{Running: rows})
 }
 
 // A task that takes long everywhere is left where it is: to begin it anew would
@@ -43,7 +43,7 @@
 	f.pass(time.Second)
 	for range 2 {
 		for w, r := range l {
-			f.tell(w, r, 16)
+			f.reportPercent(w, r, 16)
 		}
 		f.pass(100 * time.Millisecond)
 	}
@@ -52,7 +52,7 @@
 
 // Tasks on a slow worker are begun anew elsewhere once others of their step have
 // gone on much faster.
-func TestSlowWorkerIsToldByTasksOfTheSameStep(t *testing.T) {
+func TestSlowWorkerIsDetectedByTasksOfSameStep(t *testing.T) {
 	f := newFixture(t)
 	l := spread(f)
 	f.pass(time.Second)
@@ -62,16 +62,16 @@
 			slow = w
 			continue
 		}
-		f.tell(w, r, 70)
+		f.reportPercent(w, r, 70)
 	}
-	f.tell(slow, l[slow], 15)
+	f.reportPercent(slow, l[slow], 15)
 	s := f.stops()
 	require.Len(t, s, 2)
 	require.Equal(t, slow, s[0].Worker.ID)
 }
 
 // Where a step has no tasks elsewhere, other jobs on the worker tell.
-func TestSlowWorkerIsToldByOtherJobs(t *testing.T) {
+func TestSlowWorkerIsDetectedByOtherJobs(t *testing.T) {
 	for _, v := range []struct {
 		others int
 		stops  bool
@@ -89,9 +89,9 @@
 		f.join("w2")
 		f.pass(time.Second)
 		rows := []platform.RunningRow{runningRow(l[1], v.others), runningRow(l[2], v.others), runningRow(l[0], 15)}
-		f.answer("w1", platform.Look{Running: rows})
+		f.answer("w1", platform.PollReply{Running: rows})
 		f.pass(50 * time.Millisecond)
-		f.answer("w1", platform.Look{Running: rows})
+		f.answer("w1", platform.PollReply{Running: rows})
 		require.Equal(t, v.stops, len(f.stops()) > 0, "others at %d", v.others)
 	}
 }
--- a/job/soon_test.go
+++ b/job/soon_test.go
@@ -18,7 +18,7 @@
 	}{{time.Second, true}, {20 * time.Second, false}} {
 		f := newFixture(t)
 		f.join("w1")
-		f.machinesAre(machineOf("w1", "blue"))
+		f.listMachines(machineOf("w1", "blue"))
 		first, wide := oneTask(), oneTask()
 		first.Estimate = v.first
 		wide.Count = 40
@@ -26,14 +26,14 @@
 		f.submit(idA, "quick", first, wide)
 		f.took(f.starts()[0])
 		f.pass(100 * time.Millisecond)
-		got := f.core.soon("blue", f.now.Add(moveTakes)).MilliCores
+		got := f.core.upcomingDemand("blue", f.now.Add(moveDuration)).MilliCores
 		if v.wants {
 			require.EqualValues(t, 40_000, got)
 		} else {
 			require.EqualValues(t, 1000, got)
 		}
 		f.pass(4 * arrivalWindow)
-		require.Equal(t, v.wants, f.core.wants("blue") > 10, "once the rise of the load is forgotten")
+		require.Equal(t, v.wants, f.core.wantedHosts("blue") > 10, "once the rise of the load is forgotten")
 	}
 }
 
@@ -49,11 +49,11 @@
 		Config:  testConfig(),
 		Workers: []platform.Worker{testWorker("w1")},
 		Roster:  Roster{Workers: []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1"}}},
-		Jobs:    []Accepted{{ID: idA, Record: r, Created: 50}},
+		Jobs:    []JobAccepted{{ID: idA, Record: r, Created: 50}},
 	})
-	f.machinesAre(machineOf("w1", "blue"))
-	require.Zero(t, f.core.spread("blue"))
-	require.Zero(t, f.core.soon("blue", f.now.Add(moveTakes)).MilliCores)
-	f.answer("w1", platform.Look{})
-	require.Equal(t, 24, f.core.spread("blue"))
+	f.listMachines(machineOf("w1", "blue"))
+	require.Zero(t, f.core.hostsForSpread("blue"))
+	require.Zero(t, f.core.upcomingDemand("blue", f.now.Add(moveDuration)).MilliCores)
+	f.answer("w1", platform.PollReply{})
+	require.Equal(t, 24, f.core.hostsForSpread("blue"))
 }
--- a/job/speed.go
+++ b/job/speed.go
@@ -9,9 +9,9 @@
 
 // Figures of judging a host's own speed.
 const (
-	// speedWork is the work of one sample, in bytes that are hashed: some tens
+	// speedSampleBytes is the work of one sample, in bytes that are hashed: some tens
 	// of microseconds.
-	speedWork = 64 << 10
+	speedSampleBytes = 64 << 10
 	// speedSamples is how many samples the present speed is taken from. The
 	// best of them counts, as the others may have been interrupted.
 	speedSamples = 3
@@ -20,8 +20,8 @@
 	slowFactor = 3
 )
 
-// speedometer measures how fast the host runs, against its own best.
-type speedometer struct {
+// speedMonitor measures how fast the host runs, against its own best.
+type speedMonitor struct {
 	mu    sync.Mutex
 	now   func() time.Time
 	block []byte
@@ -29,18 +29,18 @@
 	best  time.Duration
 }
 
-func newSpeedometer(now func() time.Time) *speedometer {
-	return &speedometer{now: now, block: make([]byte, speedWork)}
+func newSpeedMonitor(now func() time.Time) *speedMonitor {
+	return &speedMonitor{now: now, block: make([]byte, speedSampleBytes)}
 }
 
 // sample measures once.
-func (s *speedometer) sample() {
+func (s *speedMonitor) sample() {
 	begun := s.now()
 	sum := xxhash.Sum64(s.block)
-	s.note(s.now().Sub(begun) + time.Duration(sum&1))
+	s.add(s.now().Sub(begun) + time.Duration(sum&1))
 }
 
-func (s *speedometer) note(d time.Duration) {
+func (s *speedMonitor) add(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = append(s.last, d)
@@ -53,7 +53,7 @@
 }
 
 // slow reports whether the host runs much slower than it can.
-func (s *speedometer) slow() bool {
+func (s *speedMonitor) slow() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.last) < speedSamples {
--- a/job/speed_test.go
+++ b/job/speed_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSlowHostIsToldFromAnInterruptedOne(t *testing.T) {
-	s := newSpeedometer(time.Now)
+func TestSlowHostIsDistinguishedFromAnInterruptedOne(t *testing.T) {
+	s := newSpeedMonitor(time.Now)
 	for range 10 {
-		s.note(20 * time.Microsecond)
+		s.add(20 * time.Microsecond)
 	}
-	s.note(time.Millisecond)
-	s.note(time.Millisecond)
+	s.add(time.Millisecond)
+	s.add(time.Millisecond)
 	require.False(t, s.slow(), "two samples may have been interrupted")
-	s.note(90 * time.Microsecond)
+	s.add(90 * time.Microsecond)
 	require.True(t, s.slow())
-	s.note(25 * time.Microsecond)
+	s.add(25 * time.Microsecond)
 	require.False(t, s.slow())
 	s.sample()
 	require.Len(t, s.last, speedSamples)
--- a/job/state.go
+++ b/job/state.go
@@ -19,27 +19,27 @@
 	team    *team
 	// knownAt is when the owner came to know of it, beyond that its team had sent more
 	// than its share by then.
-	knownAt time.Time
-	beyond  bool
-	state   platform.State
-	finalAt time.Time
-	// kept is the last state that the store holds.
-	kept      platform.State
-	began     bool
-	instances map[int]*instance
-	// strays is what runs of it take that are not to be there.
-	strays platform.Resources
-	// left is what runs may take that an earlier owner had not seen end.
-	left *Remains
-	// past is the number of the first time that is not yet done in whole; next
+	knownAt   time.Time
+	overShare bool
+	state     platform.State
+	finalAt   time.Time
+	// storedState is the last state that the store holds.
+	storedState platform.State
+	started     bool
+	instances   map[int]*instance
+	// orphanUsage is what runs of it take that are not to be there.
+	orphanUsage platform.Resources
+	// leftover is what runs may take that an earlier owner had not seen end.
+	leftover *LeftoverRuns
+	// oldestInstance is the number of the first time that is not yet done in whole; next
 	// is the first that is not yet due.
-	past, next int
-	dirty      bool
+	oldestInstance, nextInstance int
+	dirty                        bool
 	// failedOn are the workers on which a run of the job has failed.
 	failedOn map[platform.WorkerID]bool
-	// crashChanges counts the changes of its tasks' crashes, crashChangesKept those that
+	// crashVersion counts the changes of its tasks' crashes, crashChangesKept those that
 	// the store holds.
-	crashChanges, crashChangesKept int
+	crashVersion, storedCrashVersion int
 }
 
 // instance is one time of a job, and the only one of a job without times.
@@ -48,23 +48,23 @@
 	k     int
 	due   time.Time
 	steps []*step
-	// left counts the tasks that are not done.
-	left int
+	// remaining counts the tasks that are not done.
+	remaining int
 }
 
 // step is a step of an instance.
 type step struct {
 	*platform.Step
-	of    *instance
-	index int
-	tasks []*task
-	left  int
+	of        *instance
+	index     int
+	tasks     []*task
+	remaining int
 	// idle counts the tasks that are not done and have no run.
 	idle int
 	// perWorker counts the runs on each worker, if the step bounds them.
 	perWorker map[platform.WorkerID]int
-	// from is the first task that may be idle.
-	from int
+	// firstIdle is the first task that may be idle.
+	firstIdle int
 	// advice is what the advice service has said, if the queue needs it.
 	advice *advice
 }
@@ -83,10 +83,10 @@
 	avoid platform.WorkerID
 	// notBefore holds back a task that keeps ending.
 	notBefore time.Time
-	// awaySince is when a lasting task was last at work.
-	awaySince time.Time
-	// atWork says that a lasting task is at work.
-	atWork bool
+	// unavailableSince is when a lasting task was last at work.
+	unavailableSince time.Time
+	// ready says that a lasting task is at work.
+	ready bool
 	// begunAt and doneAt are the times of its good run, doneOn its worker.
 	begunAt, doneAt time.Time
 	doneOn          platform.WorkerID
@@ -104,8 +104,8 @@
 	starting phase = iota
 	// running: the worker has taken the order.
 	running
-	// unsure: the order's answer was lost; it may be carried out late.
-	unsure
+	// unconfirmed: the order's answer was lost; it may be carried out late.
+	unconfirmed
 	// stopping: the run is to end.
 	stopping
 )
@@ -116,41 +116,41 @@
 	task   *task
 	at     *worker
 	phase  phase
-	// begun says that its worker is known to have taken the order.
-	begun bool
+	// startConfirmed says that its worker is known to have taken the order.
+	startConfirmed bool
 	// listed says that its worker has named it among those that run there: no other
 	// incarnation of the worker can carry the order out any more.
 	listed bool
-	// blamed says that a crash was counted against its task for it: a start that may have
+	// crashCounted says that a crash was counted against its task for it: a start that may have
 	// been carried out by either of two incarnations has crashed one of them at most.
-	blamed bool
-	// accused says that it is a suspect of the crash after which its worker has started again,
+	crashCounted bool
+	// crashSuspect says that it is a suspect of the crash after which its worker has started again,
 	// as a run of the only job or not, unless the next incarnation runs it.
-	accused, accusedAlone bool
+	crashSuspect, soleCrashSuspect bool
 	// sentAt is when the order went out, knownAt when its answer came.
 	sentAt, knownAt time.Time
-	// stopSent says that an order to stop is under way; stopRefused is true
+	// stopPending says that an order to stop is under way; stopRefused is true
 	// once the worker has said that the run can never start.
-	stopSent, stopped bool
+	stopPending, stopConfirmed bool
 	// stopAt is when the stop was decided, stops how often it was sent.
-	stopAt time.Time
-	stops  int
-	// stopHeld says that the log has a stop as held back.
-	stopHeld bool
-	// stopDoubtedUntil is until when an order to stop that was not answered, and was taken
+	stopAt       time.Time
+	stopAttempts int
+	// stopDeferred says that the log has a stop as held back.
+	stopDeferred bool
+	// lateStopUntil is until when an order to stop that was not answered, and was taken
 	// back, may be carried out.
-	stopDoubtedUntil time.Time
+	lateStopUntil time.Time
 	// absent says that the last look, which was sent after the start's answer was lost, did
 	// not list the run.
 	absent  bool
 	percent int
-	// adoptedAt is the percent at which the owner came to know the run.
-	adoptedAt int
-	level     float64
-	// movedAt is when percent last changed.
-	movedAt time.Time
-	// heardAt is when its worker last said how far it is.
-	heardAt time.Time
+	// adoptedPercent is the percent at which the owner came to know the run.
+	adoptedPercent int
+	level          float64
+	// progressAt is when percent last changed.
+	progressAt time.Time
+	// reportedAt is when its worker last said how far it is.
+	reportedAt time.Time
 	// adopted says that an earlier owner started it: its worker has borne it for longer
 	// than since sentAt.
 	adopted bool
@@ -207,7 +207,7 @@
 	n := &instance{job: j, k: k, due: due}
 	for i := range j.Steps {
 		d := &j.Steps[i]
-		s := &step{Step: d, of: n, index: i, left: d.Count, idle: d.Count}
+		s := &step{Step: d, of: n, index: i, remaining: d.Count, idle: d.Count}
 		if d.MaxPerWorker > 0 {
 			s.perWorker = map[platform.WorkerID]int{}
 		}
@@ -217,14 +217,14 @@
 			block[x] = task{of: s, index: x}
 			s.tasks[x] = &block[x]
 		}
-		n.left += d.Count
+		n.remaining += d.Count
 		n.steps = append(n.steps, s)
 	}
 	return n
 }
 
-// finish notes that a task is done.
-func (n *instance) finish(t *task) {
+// markDone notes that a task is done.
+func (n *instance) markDone(t *task) {
 	if t.done {
 		return
 	}
@@ -232,14 +232,14 @@
 		t.of.idle--
 	}
 	t.done = true
-	t.of.left--
-	n.left--
+	t.of.remaining--
+	n.remaining--
 }
 
-// untouched reports whether no task has ended.
-func (n *instance) untouched() bool {
+// noTaskEnded reports whether no task has ended.
+func (n *instance) noTaskEnded() bool {
 	for _, s := range n.steps {
-		if s.left < len(s.tasks) {
+		if s.remaining < len(s.tasks) {
 			return false
 		}
 		for _, t := range s.tasks {
@@ -251,10 +251,10 @@
 	return true
 }
 
-// open reports whether the steps before s are done.
-func (s *step) open() bool {
+// unblocked reports whether the steps before s are done.
+func (s *step) unblocked() bool {
 	for _, a := range s.After {
-		if s.of.steps[a].left > 0 {
+		if s.of.steps[a].remaining > 0 {
 			return false
 		}
 	}
@@ -286,7 +286,7 @@
 	}
 	if t.idle() {
 		t.of.idle++
-		t.of.from = min(t.of.from, t.index)
+		t.of.firstIdle = min(t.of.firstIdle, t.index)
 	}
 	if t.of.perWorker != nil {
 		t.of.perWorker[r.at.ID]--
--- a/job/suspension_test.go
+++ b/job/suspension_test.go
@@ -30,7 +30,7 @@
 	slept := time.Duration(0)
 	o.suspended = func() time.Duration { return slept }
 	ctx, cancel := context.WithCancel(t.Context())
-	ctx, o.end = context.WithCancel(ctx)
+	ctx, o.cancel = context.WithCancel(ctx)
 	defer cancel()
 
 	worker := testWorker("w1")
@@ -42,7 +42,7 @@
 	slept = 4 * time.Second
 	require.Greater(t, o.sinceRenewal(), slept, "the lease is as old as the world says")
 	require.False(t, o.performAll(ctx, []Action{start}))
-	require.Equal(t, whySuspended, o.why)
+	require.Equal(t, whySuspended, o.resignReason)
 	require.Error(t, ctx.Err())
 	select {
 	case <-asked:
@@ -58,7 +58,7 @@
 	e := newElection(s.kv, Owner{Name: "owner"}, Size{Cores: 1}, nil, time.Now, slept)
 	n, err := e.claim(t.Context())
 	require.NoError(t, err)
-	o := newOwner(Clients{KV: s.kv}, nil, time.Now, slept, Settings{}, n, newSpeedometer(time.Now), nil)
+	o := newOwner(Clients{KV: s.kv}, nil, time.Now, slept, Settings{}, n, newSpeedMonitor(time.Now), nil)
 	require.Zero(t, o.suspendedFor())
 	require.Empty(t, o.lostAuthority())
 }
--- a/job/teams.go
+++ b/job/teams.go
@@ -15,28 +15,28 @@
 	// used is what its runs take on all workers, also those that are being stopped, whose
 	// start was not answered, or that an earlier owner started.
 	used platform.Resources
-	// unheard is what runs of earlier owners may take at workers that have not answered.
-	unheard platform.Resources
-	// held are the services in which its tasks wait for its cap, and freed says that
+	// uncontactedUsage is what runs of earlier owners may take at workers that have not answered.
+	uncontactedUsage platform.Resources
+	// waitingServices are the services in which its tasks wait for its cap, and freed says that
 	// some of it has come free since.
-	held  map[string]bool
-	freed bool
-	// asked is what was counted of what it asks for in the round.
-	asked  platform.Resources
-	round  int
-	share  share
-	served served
-	of     *teams
+	waitingServices map[string]bool
+	unblocked       bool
+	// counted is what was counted of what it asks for in the round.
+	counted platform.Resources
+	round   int
+	share   share
+	served  servedCounts
+	teams   *teams
 }
 
 // teams are those that jobs are handed in by. A team that the configuration has no more
 // keeps its last cap for what it handed in before.
 type teams struct {
 	byName map[string]*team
-	// freed are the teams with tasks that may start again.
-	freed []*team
-	// ended are the jobs that have become final while runs of them may go on unheard of.
-	ended []*job
+	// unblocked are the teams with tasks that may start again.
+	unblocked []*team
+	// endedUncontacted are the jobs that have become final while runs of them may go on unheard of.
+	endedUncontacted []*job
 	// round numbers the counts of what teams ask for.
 	round int
 }
@@ -52,27 +52,27 @@
 	}
 	t := l.byName[name]
 	if t == nil {
-		t = &team{Team: platform.Team{Name: name}, held: map[string]bool{}, of: l}
+		t = &team{Team: platform.Team{Name: name}, waitingServices: map[string]bool{}, teams: l}
 		l.byName[name] = t
 	}
 	return t
 }
 
-// take takes the teams of a configuration in force.
-func (l *teams) take(in []platform.Team) {
+// update takes the teams of a configuration in force.
+func (l *teams) update(in []platform.Team) {
 	for _, v := range in {
 		t := l.find(v.Name)
 		t.Team = v
-		t.free()
+		t.unblock()
 	}
 }
 
-// mayTake reports whether n more tasks that need as much stay within the team's cap.
-func (t *team) mayTake(need platform.Resources, n int64) bool {
+// mayUse reports whether n more tasks that need as much stay within the team's cap.
+func (t *team) mayUse(need platform.Resources, n int64) bool {
 	if t == nil || t.Cap == (platform.Resources{}) {
 		return true
 	}
-	return t.taken().Plus(need, n).Within(t.Cap)
+	return t.usage().Plus(need, n).Within(t.Cap)
 }
 
 // checkCap returns what of a job can never run within the cap of the team as its caller
@@ -97,67 +97,67 @@
 	}
 	t.used = t.used.Plus(need, n)
 	if n < 0 {
-		t.free()
+		t.unblock()
 	}
 }
 
-// taken returns what the team has, as far as is known.
-func (t *team) taken() platform.Resources {
+// usage returns what the team has, as far as is known.
+func (t *team) usage() platform.Resources {
 	if t == nil {
 		return platform.Resources{}
 	}
-	return t.used.Plus(t.unheard, 1)
+	return t.used.Plus(t.uncontactedUsage, 1)
 }
 
-// hold notes that tasks wait in the service for the team's cap.
-func (t *team) hold(service string) {
-	t.held[service] = true
+// addWaiting notes that tasks wait in the service for the team's cap.
+func (t *team) addWaiting(service string) {
+	t.waitingServices[service] = true
 }
 
-// free has the tasks that wait for the cap placed.
-func (t *team) free() {
-	if !t.freed && len(t.held) > 0 {
-		t.freed = true
-		t.of.freed = append(t.of.freed, t)
+// unblock has the tasks that wait for the cap placed.
+func (t *team) unblock() {
+	if !t.unblocked && len(t.waitingServices) > 0 {
+		t.unblocked = true
+		t.teams.unblocked = append(t.teams.unblocked, t)
 	}
 }
 
-// released returns the services in which tasks that waited for a cap may start.
-func (l *teams) released() []string {
+// takeUnblocked returns the services in which tasks that waited for a cap may start.
+func (l *teams) takeUnblocked() []string {
 	var s []string
-	for _, t := range l.freed {
-		s = slices.AppendSeq(s, maps.Keys(t.held))
-		clear(t.held)
-		t.freed = false
+	for _, t := range l.unblocked {
+		s = slices.AppendSeq(s, maps.Keys(t.waitingServices))
+		clear(t.waitingServices)
+		t.unblocked = false
 	}
-	l.freed = l.freed[:0]
+	l.unblocked = l.unblocked[:0]
 	return s
 }
 
-// count begins a count of what teams ask for.
-func (l *teams) count() {
+// startCount begins a count of what teams ask for.
+func (l *teams) startCount() {
 	l.round++
 }
 
-// asks returns how many of n tasks the team may have beside what it takes and what was
+// limitToCap returns how many of n tasks the team may have beside what it takes and what was
 // counted of it in this round: hosts for more of them would stand idle.
-func (t *team) asks(takes, need platform.Resources, n int64) int64 {
+func (t *team) limitToCap(takes, need platform.Resources, n int64) int64 {
 	if t == nil || n == 0 || t.Cap == (platform.Resources{}) {
 		return n
 	}
-	if t.round != t.of.round {
-		t.round, t.asked = t.of.round, platform.Resources{}
+	if t.round != t.teams.round {
+		t.round, t.counted = t.teams.round, platform.Resources{}
 	}
-	has := takes.Plus(t.asked, 1)
-	n = min(n, fitsTimes(t.Cap.MilliCores, has.MilliCores, need.MilliCores),
-		fitsTimes(t.Cap.MemoryMB, has.MemoryMB, need.MemoryMB), fitsTimes(t.Cap.GPUs, has.GPUs, need.GPUs))
-	t.asked = t.asked.Plus(need, n)
+	has := takes.Plus(t.counted, 1)
+	n = min(n, countFitting(t.Cap.MilliCores, has.MilliCores, need.MilliCores),
+		countFitting(t.Cap.MemoryMB, has.MemoryMB, need.MemoryMB), countFitting(t.Cap.GPUs, has.GPUs, need.GPUs))
+	t.counted = t.counted.Plus(need, n)
 	return n
 }
 
-// fitsTimes returns how often the need fits beside what is taken, many times where there
+// countFitting returns how often the need fits beside what is taken, many times where there
 // is no bound.
-func fitsTimes(bound, taken, need int64) int64 {
+func countFitting(bound, taken, need int64) int64 {
 	const many = 1 << 40
 	if bound == 0 || need == 0 {
 		return many
@@ -165,46 +165,46 @@
 	return max(0, (bound-taken)/need)
 }
 
-// addUnheard counts the tasks of a job that may run unheard of.
-func (c *Core) addUnheard(j *job) {
-	if j.team == nil || c.settled(j) {
+// addUncontacted counts the tasks of a job that may run unheard of.
+func (c *Core) addUncontacted(j *job) {
+	if j.team == nil || c.inheritedRunsKnown(j) {
 		return
 	}
-	if j.left != nil {
-		j.team.unheard = j.team.unheard.Plus(j.left.Running, 1)
+	if j.leftover != nil {
+		j.team.uncontactedUsage = j.team.uncontactedUsage.Plus(j.leftover.Running, 1)
 	}
 	for _, n := range j.instances {
 		for _, s := range n.steps {
-			j.team.unheard = j.team.unheard.Plus(s.Resources, int64(s.idle))
+			j.team.uncontactedUsage = j.team.uncontactedUsage.Plus(s.Resources, int64(s.idle))
 		}
 	}
 }
 
-// countUnheard counts what earlier owners may have started for each team at workers that
+// countUncontacted counts what earlier owners may have started for each team at workers that
 // have not answered: the tasks without a run of jobs that are not settled, but no more
 // than those workers have, where that is known. Until they answer, nothing that the count
 // leaves no room for is started, so that a team stays within its cap across owners.
-func (c *Core) countUnheard(unmet unmetRoom) {
+func (c *Core) countUncontacted(unmet uncontactedRoom) {
 	for _, t := range c.teams.byName {
-		if t.unheard != (platform.Resources{}) {
-			t.unheard = platform.Resources{}
-			t.free()
+		if t.uncontactedUsage != (platform.Resources{}) {
+			t.uncontactedUsage = platform.Resources{}
+			t.unblock()
 		}
 	}
-	if len(c.unmet) == 0 && !c.now.Before(c.unreadUntil) {
-		c.teams.ended = nil
+	if len(c.uncontacted) == 0 && !c.now.Before(c.rosterUnknownUntil) {
+		c.teams.endedUncontacted = nil
 		return
 	}
-	for _, j := range c.live {
-		c.addUnheard(j)
+	for _, j := range c.active {
+		c.addUncontacted(j)
 	}
-	for _, j := range c.teams.ended {
-		c.addUnheard(j)
+	for _, j := range c.teams.endedUncontacted {
+		c.addUncontacted(j)
 	}
-	if unmet.unknown || c.now.Before(c.unreadUntil) {
+	if unmet.unknown || c.now.Before(c.rosterUnknownUntil) {
 		return
 	}
 	for _, t := range c.teams.byName {
-		t.unheard = t.unheard.Least(unmet.Resources)
+		t.uncontactedUsage = t.uncontactedUsage.Least(unmet.Resources)
 	}
 }
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -10,9 +10,9 @@
 	"amberway/platform"
 )
 
-// capped is testConfig with the team "paint", which may have as much running, and "tint",
+// cappedConfig is testConfig with the team "paint", which may have as much running, and "tint",
 // which may have anything.
-func capped(version int64, limit platform.Resources) *platform.Deployed {
+func cappedConfig(version int64, limit platform.Resources) *platform.Deployed {
 	d := testConfig()
 	d.Version = version
 	d.Teams = []platform.Team{{Name: "paint", Weight: 10, Cap: limit}, {Name: "tint", Weight: 10}}
@@ -28,7 +28,7 @@
 	r := NewRecord(f.core.queues[queue], platform.Submission{Spec: "spec", Steps: steps}, f.now)
 	r.Team = team
 	require.NoError(f.t, r.Check())
-	f.step(Accepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
+	f.step(JobAccepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
 }
 
 // tasksOf returns a step of n tasks that take a core each.
@@ -46,7 +46,7 @@
 // for, 2,724 cores where 2,472 were its bound: nothing counted what a team has running.
 func TestTeamHasNoMoreRunningThanItsCap(t *testing.T) {
 	f := newFixture(t)
-	f.step(ConfigTaken{Config: capped(2, cores(2))})
+	f.step(ConfigChanged{Config: cappedConfig(2, cores(2))})
 	f.join("w1", "w2")
 	f.handIn(idA, "paint", "quick", tasksOf(4))
 	f.handIn(idB, "tint", "patient", tasksOf(3))
@@ -59,8 +59,8 @@
 	require.Empty(t, f.starts())
 	e, ok := f.core.Explain(idA)
 	require.True(t, ok)
-	require.Equal(t, waitsCap, e.Steps[0].Waits)
-	f.answer(string(mine[0].Worker.ID), platform.Look{
+	require.Equal(t, waitsForCap, e.Steps[0].Waits)
+	f.answer(string(mine[0].Worker.ID), platform.PollReply{
 		Ended:   []platform.EndedRow{ended(1, mine[0], platform.EndDone)},
 		Running: rowsOf(l, mine[0]),
 	})
@@ -92,41 +92,41 @@
 // Tasks of a team wait in one service for what it has running in another.
 func TestCapHoldsAcrossServices(t *testing.T) {
 	f := newFixture(t)
-	d := capped(2, cores(1))
+	d := cappedConfig(2, cores(1))
 	d.Queues = append(d.Queues, platform.Queue{Name: "green", Host: "h", Prefix: "/g/", Service: "green", Attempts: 2, Stretch: 2, Goal: time.Second})
-	f.step(ConfigTaken{Config: d})
+	f.step(ConfigChanged{Config: d})
 	f.join("w1")
 	w := testWorker("w2")
 	w.Service = "green"
 	f.step(WorkerListed{Worker: w})
-	f.answer("w2", platform.Look{})
+	f.answer("w2", platform.PollReply{})
 	f.handIn(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
 	f.tookAll(l)
 	f.handIn(idB, "paint", "green", tasksOf(1))
 	require.Empty(t, f.starts())
-	f.answer("w1", platform.Look{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
+	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	require.Len(t, f.starts(), 1)
 }
 
 // What is being stopped, and what was ordered without an answer, still counts.
 func TestCapCountsWhatMayStillRun(t *testing.T) {
 	f := newFixture(t)
-	f.step(ConfigTaken{Config: capped(2, cores(1))})
+	f.step(ConfigChanged{Config: cappedConfig(2, cores(1))})
 	f.join("w1", "w2")
 	f.handIn(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
-	f.step(Started{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknown})
 	f.handIn(idB, "paint", "quick", tasksOf(1))
 	require.Empty(t, f.starts(), "the start may be carried out late")
-	f.step(CancelAsked{ID: idA})
+	f.step(CancelRequested{ID: idA})
 	f.pass(200 * time.Millisecond)
 	require.Empty(t, f.starts(), "it has not ended yet")
-	f.step(Stopped{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Clock: f.clock})
+	f.step(StopResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Clock: f.clock})
 	f.pass(50 * time.Millisecond)
-	f.answer(string(l[0].Worker.ID), platform.Look{})
+	f.answer(string(l[0].Worker.ID), platform.PollReply{})
 	require.Len(t, f.starts(), 1, "the run can never begin")
 }
 
@@ -137,20 +137,20 @@
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(2)}}, f.now)
 	rec.Team = "paint"
 	f.step(Inherited{
-		Config: capped(2, cores(2)), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
-		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 10}},
-		Roster: Roster{Workers: []RosterEntry{entryOf(newWorker(testWorker("w1"), f.now)), entryOf(newWorker(testWorker("w2"), f.now))}},
+		Config: cappedConfig(2, cores(2)), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
+		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 10}},
+		Roster: Roster{Workers: []RosterEntry{rosterEntryOf(newWorker(testWorker("w1"), f.now)), rosterEntryOf(newWorker(testWorker("w2"), f.now))}},
 	})
-	f.answer("w2", platform.Look{})
-	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
+	f.answer("w2", platform.PollReply{})
+	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
 	require.Empty(t, f.starts(), "w1 may run two tasks of the team")
-	f.answer("w1", platform.Look{Running: []platform.RunningRow{
+	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{
 		{Task: idA + ".0.0.0", Run: 7, Percent: 20}, {Task: idA + ".0.0.1", Run: 8, Percent: 20},
 	}})
 	f.pass(100 * time.Millisecond)
 	require.Empty(t, f.starts(), "it does")
-	f.pass(lookWait)
-	f.answer("w1", platform.Look{Ended: []platform.EndedRow{
+	f.pass(pollWait)
+	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{
 		{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndDone}, {Number: 2, Task: idA + ".0.0.1", Run: 8, How: platform.EndDone},
 	}})
 	require.Len(t, f.starts(), 2)
@@ -158,22 +158,22 @@
 
 // A run of a job that was cancelled counts until it has ended, also for a next owner,
 // which finds it at a worker.
-func TestCapCountsRunsThatAreNotToBeThere(t *testing.T) {
+func TestCapCountsRunsOfCancelledJobs(t *testing.T) {
 	f := newOwnerFixture(t, 5000)
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(1)}}, f.now)
 	rec.Team = "paint"
 	f.step(Inherited{
-		Config: capped(2, cores(1)), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
-		Jobs:    []Accepted{{ID: idA, Record: rec, Created: 10}},
+		Config: cappedConfig(2, cores(1)), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
+		Jobs:    []JobAccepted{{ID: idA, Record: rec, Created: 10}},
 		Cancels: []ID{idA},
-		Roster:  Roster{Workers: []RosterEntry{entryOf(newWorker(testWorker("w1"), f.now))}},
+		Roster:  Roster{Workers: []RosterEntry{rosterEntryOf(newWorker(testWorker("w1"), f.now))}},
 	})
-	f.answer("w2", platform.Look{})
-	f.answer("w1", platform.Look{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: 7, Percent: 20}}})
-	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
+	f.answer("w2", platform.PollReply{})
+	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: 7, Percent: 20}}})
+	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
 	require.Empty(t, f.starts())
 	f.pass(50 * time.Millisecond)
-	f.answer("w1", platform.Look{Ended: []platform.EndedRow{{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndStopped}}})
+	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndStopped}}})
 	require.Len(t, f.starts(), 1)
 }
 
@@ -183,27 +183,27 @@
 // `inherited jobs wait` names it, and jobs that came after that owner were started beside it
 // in the moment in which all other workers had answered. What may run unheard was bounded by
 // what the silent workers have, which was nothing.
-func TestCapCountsWhatMayRunOnAWorkerWhoseRoomIsNotKnown(t *testing.T) {
+func TestCapCountsRunsOnAWorkerOfUnknownCapacity(t *testing.T) {
 	f := newOwnerFixture(t, 5000)
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(1)}}, f.now)
 	rec.Team = "paint"
 	f.step(Inherited{
-		Config: capped(2, cores(1)), Workers: []platform.Worker{testWorker("w2")},
-		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 10}},
-		Roster: Roster{Workers: []RosterEntry{entryOf(newWorker(testWorker("w1"), f.now)), entryOf(newWorker(testWorker("w2"), f.now))}},
+		Config: cappedConfig(2, cores(1)), Workers: []platform.Worker{testWorker("w2")},
+		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 10}},
+		Roster: Roster{Workers: []RosterEntry{rosterEntryOf(newWorker(testWorker("w1"), f.now)), rosterEntryOf(newWorker(testWorker("w2"), f.now))}},
 	})
-	f.answer("w2", platform.Look{})
-	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
+	f.answer("w2", platform.PollReply{})
+	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
 	f.pass(100 * time.Millisecond)
 	require.Empty(t, f.starts(), "the first may run on w1")
-	f.answer("w1", platform.Look{})
+	f.answer("w1", platform.PollReply{})
 	require.Len(t, f.starts(), 1)
 }
 
 // A gang starts whole below the cap or not at all.
 func TestGangWaitsUntilItsTeamMayHaveAllOfIt(t *testing.T) {
 	f := newFixture(t)
-	f.step(ConfigTaken{Config: capped(2, cores(3))})
+	f.step(ConfigChanged{Config: cappedConfig(2, cores(3))})
 	f.join("w1", "w2")
 	f.handIn(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
@@ -213,7 +213,7 @@
 	g.Gang = true
 	f.handIn(idB, "paint", "quick", g)
 	require.Empty(t, f.starts())
-	f.answer(string(l[0].Worker.ID), platform.Look{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
+	f.answer(string(l[0].Worker.ID), platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	require.Len(t, f.starts(), 3)
 }
 
@@ -221,7 +221,7 @@
 // for the jobs that it handed in.
 func TestCapsChangeWithTheConfiguration(t *testing.T) {
 	f := newFixture(t)
-	f.step(ConfigTaken{Config: capped(2, cores(1))})
+	f.step(ConfigChanged{Config: cappedConfig(2, cores(1))})
 	f.join("w1", "w2")
 	f.handIn(idA, "paint", "quick", tasksOf(8))
 	count := func() int {
@@ -230,15 +230,15 @@
 		return len(l)
 	}
 	require.Equal(t, 1, count())
-	f.step(ConfigTaken{Config: capped(3, cores(3))})
+	f.step(ConfigChanged{Config: cappedConfig(3, cores(3))})
 	require.Equal(t, 2, count(), "at once")
-	f.step(ConfigTaken{Config: capped(4, cores(2))})
+	f.step(ConfigChanged{Config: cappedConfig(4, cores(2))})
 	require.Zero(t, count())
-	gone := capped(5, cores(0))
+	gone := cappedConfig(5, cores(0))
 	gone.Teams = gone.Teams[1:]
-	f.step(ConfigTaken{Config: gone})
+	f.step(ConfigChanged{Config: gone})
 	require.Zero(t, count())
-	f.step(ConfigTaken{Config: capped(6, platform.Resources{})})
+	f.step(ConfigChanged{Config: cappedConfig(6, platform.Resources{})})
 	require.Equal(t, 5, count(), "no bound is set")
 }
 
@@ -246,21 +246,21 @@
 func TestWorkBeyondACapAsksForNoHosts(t *testing.T) {
 	wants := func(limit platform.Resources) int {
 		f := newFixture(t)
-		f.step(ConfigTaken{Config: capped(2, limit)})
+		f.step(ConfigChanged{Config: cappedConfig(2, limit)})
 		f.join("w1")
 		f.handIn(idA, "paint", "quick", tasksOf(4))
 		f.tookAll(f.starts())
 		for i := range 6 {
 			f.handIn(string(rune('0'+i))+idB[1:], "paint", "quick", tasksOf(8))
 		}
-		return f.core.wants("blue")
+		return f.core.wantedHosts("blue")
 	}
 	require.Equal(t, 2, wants(cores(4)))
 	require.Greater(t, wants(platform.Resources{}), 10)
 }
 
 // What can never run within its team's cap is refused as it comes, and says why.
-func TestWhatNeverFitsItsCapIsRefusedAtOnce(t *testing.T) {
+func TestJobThatNeverFitsItsCapIsRefusedAtOnce(t *testing.T) {
 	n := newKeyedNode(t)
 	go n.intake.run(t.Context())
 	d := keyedConfig(2)
--- a/job/waitlist.go
+++ b/job/waitlist.go
@@ -14,8 +14,8 @@
 	beyond bool
 	// late says that the job can hardly be in time any more.
 	late bool
-	// latest is when the step has to start for its job to be in time.
-	latest time.Time
+	// latestStart is when the step has to start for its job to be in time.
+	latestStart time.Time
 }
 
 // waitlist is what waits for the workers of one service.
@@ -24,12 +24,12 @@
 	jobs    map[ID]*job
 	// steps are the open steps, the most urgent first. They are collected anew
 	// when reorder is set.
-	steps   []candidate
-	reorder bool
+	steps     []candidate
+	needsSort bool
 	// head is the first step with tasks that wait, as of the last placement.
 	head candidate
-	// replan says that tasks may have found room.
-	replan bool
+	// needsPlacement says that tasks may have found room.
+	needsPlacement bool
 }
 
 // waitlists keeps the order in which tasks are placed. Collecting and sorting
@@ -55,14 +55,14 @@
 
 // replan has the service's waiting tasks placed, as room may have been found.
 func (l *waitlists) replan(service string) {
-	l.listOf(service).replan = true
+	l.listOf(service).needsPlacement = true
 }
 
 // reorder has the service's open steps collected anew and placed.
 func (l *waitlists) reorder(service string) {
 	w := l.listOf(service)
-	w.reorder = true
-	w.replan = true
+	w.needsSort = true
+	w.needsPlacement = true
 }
 
 func (l *waitlists) reorderAll() {
@@ -71,26 +71,26 @@
 	}
 }
 
-// enlist adds a live job.
-func (l *waitlists) enlist(j *job) {
+// enqueue adds a live job.
+func (l *waitlists) enqueue(j *job) {
 	l.listOf(j.queue.Service).jobs[j.id] = j
 	l.reorder(j.queue.Service)
 }
 
-// delist removes a job that has become final.
-func (l *waitlists) delist(j *job) {
+// dequeue removes a job that has become final.
+func (l *waitlists) dequeue(j *job) {
 	delete(l.listOf(j.queue.Service).jobs, j.id)
 	l.reorder(j.queue.Service)
 }
 
-// sortJobs puts all live jobs on the lists of their services, which a new
+// rebuildWaitlists puts all live jobs on the lists of their services, which a new
 // configuration may have changed.
-func (c *Core) sortJobs() {
+func (c *Core) rebuildWaitlists() {
 	for _, l := range c.byService {
 		clear(l.jobs)
 	}
-	for _, j := range c.live {
-		c.enlist(j)
+	for _, j := range c.active {
+		c.enqueue(j)
 	}
 	c.reorderAll()
 }
@@ -98,26 +98,26 @@
 // place starts waiting tasks where there is room, the most urgent first.
 func (c *Core) place() {
 	counted := false
-	for _, s := range c.teams.released() {
+	for _, s := range c.teams.takeUnblocked() {
 		c.replan(s)
 	}
 	var due []*waitlist
 	for _, l := range c.byService {
-		if !l.replan {
+		if !l.needsPlacement {
 			continue
 		}
-		l.replan = false
-		if l.reorder && !counted {
-			c.countUnmet()
+		l.needsPlacement = false
+		if l.needsSort && !counted {
+			c.updateUncontacted()
 			counted = true
 		}
-		if l.reorder {
-			l.reorder = false
+		if l.needsSort {
+			l.needsSort = false
 			c.collect(l)
 		}
 		l.head = l.first()
 		if l.head.step == nil {
-			c.noteDemand(l.service, l.steps)
+			c.recordDemand(l.service, l.steps)
 			continue
 		}
 		due = append(due, l)
@@ -126,10 +126,10 @@
 	slices.SortFunc(due, func(a, b *waitlist) int { return compareCandidates(a.head, b.head) })
 	for _, l := range due {
 		if !c.placeAll(c.pools[l.service], l.steps) {
-			l.replan = true
-			c.wake(c.flow.mayAt(c.now))
+			l.needsPlacement = true
+			c.scheduleWake(c.flow.nextStartAt(c.now))
 		}
-		c.noteDemand(l.service, l.steps)
+		c.recordDemand(l.service, l.steps)
 	}
 }
 
@@ -147,7 +147,7 @@
 func (c *Core) collect(l *waitlist) {
 	l.steps = l.steps[:0]
 	for _, j := range l.jobs {
-		if !c.settled(j) {
+		if !c.inheritedRunsKnown(j) {
 			continue
 		}
 		for _, n := range j.instances {
@@ -160,16 +160,16 @@
 func (c *Core) collectSteps(l *waitlist, n *instance) {
 	q := n.job.queue
 	for _, s := range n.steps {
-		if s.left == 0 || !s.open() {
+		if s.remaining == 0 || !s.unblocked() {
 			continue
 		}
-		latest := c.dueBy(n.job, n).Add(-c.chainFrom(n, s))
+		latest := c.deadline(n.job, n).Add(-c.criticalPath(n, s))
 		l.steps = append(l.steps, candidate{
-			step:     s,
-			priority: q.Priority,
-			beyond:   c.beyondShare(n.job),
-			late:     !s.Lasting && c.now.After(latest),
-			latest:   latest,
+			step:        s,
+			priority:    q.Priority,
+			beyond:      c.beyondShare(n.job),
+			late:        !s.Lasting && c.now.After(latest),
+			latestStart: latest,
 		})
 	}
 }
@@ -187,7 +187,7 @@
 		cmp.Compare(a.priority, b.priority),
 		compareBool(a.beyond, b.beyond),
 		compareBool(a.late, b.late),
-		a.latest.Compare(b.latest),
+		a.latestStart.Compare(b.latestStart),
 		cmp.Compare(a.of.job.id, b.of.job.id),
 		cmp.Compare(a.of.k, b.of.k),
 		cmp.Compare(a.index, b.index),
--- a/job/waitlist_test.go
+++ b/job/waitlist_test.go
@@ -18,9 +18,9 @@
 	large := oneTask()
 	large.MilliCores = 100_000
 	f.submit(idA, "quick", large)
-	require.EqualValues(t, 100_000, f.core.balance.waiting["blue"].MilliCores)
-	f.step(CancelAsked{ID: idA})
-	require.Zero(t, f.core.balance.waiting["blue"].MilliCores)
+	require.EqualValues(t, 100_000, f.core.balance.unplaced["blue"].MilliCores)
+	f.step(CancelRequested{ID: idA})
+	require.Zero(t, f.core.balance.unplaced["blue"].MilliCores)
 }
 
 // What changes at one service leaves the order of another's jobs alone.
@@ -30,14 +30,14 @@
 	f.submit(idA, "quick", oneTask())
 	f.took(f.starts()[0])
 	green := f.core.listOf("green")
-	green.replan = false
+	green.needsPlacement = false
 	blue := f.core.listOf("blue")
-	f.answer("w1", platform.Look{Running: nil})
-	require.False(t, blue.replan || green.replan, "a look without news places nothing")
+	f.answer("w1", platform.PollReply{Running: nil})
+	require.False(t, blue.needsPlacement || green.needsPlacement, "a look without news places nothing")
 	f.core.replan("blue")
-	require.True(t, blue.replan)
-	require.False(t, blue.reorder, "room alone does not change the order")
-	require.False(t, green.replan)
+	require.True(t, blue.needsPlacement)
+	require.False(t, blue.needsSort, "room alone does not change the order")
+	require.False(t, green.needsPlacement)
 }
 
 // BenchmarkEnds is the end of one task on one of several services while jobs
@@ -51,16 +51,16 @@
 func benchmarkEnds(b *testing.B, jobs int) {
 	const services, workers = 5, 350
 	now := time.Unix(1e9, 0)
-	c := New(100, "entry-1", Size{Cores: 1, Link: 1000}, now)
+	c := NewCore(100, "entry-1", Size{Cores: 1, LinkMbps: 1000}, now)
 	var starts []StartRun
 	do := func(e Event) {
 		for _, a := range c.Step(now, e) {
 			switch a := a.(type) {
-			case Keep:
-				c.Step(now, Kept{Number: a.Number})
+			case WriteStore:
+				c.Step(now, WriteResult{Number: a.Number})
 			case StartRun:
 				starts = append(starts, a)
-				c.Step(now, Started{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Clock: 1})
+				c.Step(now, StartResult{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Clock: 1})
 			}
 		}
 	}
@@ -70,19 +70,19 @@
 		d.Services = append(d.Services, platform.Service{Name: s, Guards: true})
 		d.Queues = append(d.Queues, platform.Queue{Name: s, Service: s, Attempts: 2, Stretch: 1.5, Goal: time.Second})
 	}
-	do(ConfigTaken{Config: d})
+	do(ConfigChanged{Config: d})
 	for i := range workers {
 		w := testWorker(fmt.Sprint("w", i))
 		w.Service = fmt.Sprint("s", i%services)
 		do(WorkerListed{Worker: w})
-		do(Looked{Worker: w.ID, SentAt: now, Look: platform.Look{Clock: 1}})
+		do(PollResult{Worker: w.ID, SentAt: now, Poll: platform.PollReply{Clock: 1}})
 	}
 	now = now.Add(time.Second)
 	step := platform.Step{Count: 8, Resources: platform.Resources{MilliCores: 2000, MemoryMB: 100}, Estimate: time.Second}
 	for i := range workers/2 + jobs {
 		q := c.queues[fmt.Sprint("s", i%services)]
 		r := NewRecord(q, platform.Submission{Spec: "s", Steps: []platform.Step{step}}, now)
-		do(Accepted{ID: ID(fmt.Sprintf("%016x", i)), Record: r, Created: platform.Revision(1000 + i)})
+		do(JobAccepted{ID: ID(fmt.Sprintf("%016x", i)), Record: r, Created: platform.Revision(1000 + i)})
 	}
 	ends := map[platform.WorkerID]int64{}
 	b.ReportAllocs()
@@ -96,6 +96,6 @@
 		id := s.Worker.ID
 		ends[id]++
 		// The task fails, so that there is always one that waits.
-		do(Looked{Worker: id, SentAt: now, Look: platform.Look{Clock: 1, Ended: []platform.EndedRow{ended(ends[id], s, platform.EndStopped)}}})
+		do(PollResult{Worker: id, SentAt: now, Poll: platform.PollReply{Clock: 1, Ended: []platform.EndedRow{ended(ends[id], s, platform.EndStopped)}}})
 	}
 }
--- a/job/waves.go
+++ b/job/waves.go
@@ -12,54 +12,54 @@
 	"amberway/platform"
 )
 
-// wavePatience is how long a machine waits for its short tasks to end before
+// waveDrainTimeout is how long a machine waits for its short tasks to end before
 // its upkeep ends them.
-const wavePatience = 2500 * time.Millisecond
+const waveDrainTimeout = 2500 * time.Millisecond
 
-// waveAhead is how many machines are emptied ahead of those that may be down.
-const waveAhead = 2
+// waveDrainAhead is how many machines are emptied ahead of those that may be down.
+const waveDrainAhead = 2
 
 // wavePrefix begins the keys at which an owner keeps what has begun of a wave.
-const wavePrefix = ownKeys + "wave/"
+const wavePrefix = ownerOnlyPrefix + "wave/"
 
 // wave is one wave of upkeep under way.
 type wave struct {
 	platform.Wave
 	endsAt time.Time
-	// todo are the machines whose upkeep has not begun; down those whose upkeep
+	// pending are the machines whose upkeep has not begun; down those whose upkeep
 	// has begun or may have.
-	todo, down map[string]bool
-	began      []string
-	reported   bool
+	pending, down map[string]bool
+	began         []string
+	reported      bool
 	// knownSince is when the owner came to know of it, lists how many lists of
 	// machines were asked for and read since.
 	knownSince time.Time
-	lists      int
+	listsRead  int
 }
 
-// WaveAsked says that the operator asks for a wave.
-type WaveAsked struct {
+// WaveRequested says that the operator asks for a wave.
+type WaveRequested struct {
 	Wave platform.Wave
 	// Began are the machines whose upkeep an earlier owner saw begin.
 	Began []string
 }
 
 // apply adds a wave.
-func (e WaveAsked) apply(c *Core) {
+func (e WaveRequested) apply(c *Core) {
 	if c.waves[e.Wave.Number] != nil {
 		return
 	}
-	v := &wave{Wave: e.Wave, endsAt: c.now.Add(e.Wave.Within), todo: map[string]bool{}, down: map[string]bool{}, began: e.Began, knownSince: c.now}
+	v := &wave{Wave: e.Wave, endsAt: c.now.Add(e.Wave.Within), pending: map[string]bool{}, down: map[string]bool{}, began: e.Began, knownSince: c.now}
 	for _, n := range e.Wave.Machines {
-		v.todo[n] = !slices.Contains(e.Began, n)
-		if !v.todo[n] {
-			delete(v.todo, n)
+		v.pending[n] = !slices.Contains(e.Began, n)
+		if !v.pending[n] {
+			delete(v.pending, n)
 		}
 	}
 	c.waves[e.Wave.Number] = v
-	c.do(Note{What: "wave", Inputs: []any{"wave", v.Number, "machines", len(v.Machines), "left", len(v.todo), "cap", v.Cap, "within_ms", v.Within.Milliseconds()}})
+	c.emit(LogLine{What: "wave", Fields: []any{"wave", v.Number, "machines", len(v.Machines), "left", len(v.pending), "cap", v.Cap, "within_ms", v.Within.Milliseconds()}})
 	k, b := platform.WaveStatus(v.Number, false)
-	c.write([]platform.Put{{Key: k, Value: b}}, nil)
+	c.queueWrite([]platform.Put{{Key: k, Value: b}}, nil)
 }
 
 func (v *wave) name() string {
@@ -77,21 +77,21 @@
 // drop takes a machine out of the wave that is not of it any more.
 func (v *wave) drop(m string) {
 	delete(v.down, m)
-	delete(v.todo, m)
+	delete(v.pending, m)
 }
 
-// waveBegan notes that the platform has begun a machine's upkeep.
-func (c *Core) waveBegan(v *wave, m string) {
-	delete(v.todo, m)
+// noteWaveBegan notes that the platform has begun a machine's upkeep.
+func (c *Core) noteWaveBegan(v *wave, m string) {
+	delete(v.pending, m)
 	if !slices.Contains(v.began, m) {
 		v.began = append(v.began, m)
 	}
 	b, err := json.Marshal(v.began)
 	if err != nil {
-		c.do(Note{What: "wave not encoded", Why: err.Error()})
+		c.emit(LogLine{What: "wave not encoded", Why: err.Error()})
 		return
 	}
-	c.write([]platform.Put{{Key: wavePrefix + v.name(), Value: b}}, nil)
+	c.queueWrite([]platform.Put{{Key: wavePrefix + v.name(), Value: b}}, nil)
 }
 
 func decodeWaveBegan(e platform.Entry) (int64, []string, error) {
@@ -106,100 +106,100 @@
 	return n, l, nil
 }
 
-// tendWaves maintains the next machines of each wave.
-func (c *Core) tendWaves() {
-	for _, m := range c.byName {
+// reconcileWaves maintains the next machines of each wave.
+func (c *Core) reconcileWaves() {
+	for _, m := range c.machinesByName {
 		c.resend(m)
 	}
 	for _, w := range c.workers {
-		w.due = false
+		w.maintenanceDue = false
 	}
 	for _, v := range c.waves {
 		if !v.reported {
-			c.markDue(v)
-			c.tendWave(v)
+			c.markInWave(v)
+			c.reconcileWave(v)
 		}
 	}
 }
 
-// markDue marks the workers on machines that the wave has yet to maintain.
-func (c *Core) markDue(v *wave) {
-	for n := range v.todo {
-		if m := c.byName[n]; m != nil && c.workerOf(m) != nil {
-			c.workerOf(m).due = true
+// markInWave marks the workers on machines that the wave has yet to maintain.
+func (c *Core) markInWave(v *wave) {
+	for n := range v.pending {
+		if m := c.machinesByName[n]; m != nil && c.workerOf(m) != nil {
+			c.workerOf(m).maintenanceDue = true
 		}
 	}
 }
 
-func (c *Core) tendWave(v *wave) {
-	c.dropRemoved(v)
-	if len(v.todo) == 0 && len(v.down) == 0 {
+func (c *Core) reconcileWave(v *wave) {
+	c.dropRemovedMachines(v)
+	if len(v.pending) == 0 && len(v.down) == 0 {
 		v.reported = true
-		c.do(Note{What: "wave done", Inputs: []any{"wave", v.Number, "left_ms", v.endsAt.Sub(c.now).Milliseconds()}})
+		c.emit(LogLine{What: "wave done", Fields: []any{"wave", v.Number, "left_ms", v.endsAt.Sub(c.now).Milliseconds()}})
 		k, b := platform.WaveStatus(v.Number, true)
-		c.write([]platform.Put{{Key: k, Value: b}}, []string{wavePrefix + v.name()})
+		c.queueWrite([]platform.Put{{Key: k, Value: b}}, []string{wavePrefix + v.name()})
 		return
 	}
-	if c.now.Before(c.ordersAt) {
+	if c.now.Before(c.ordersFrom) {
 		return
 	}
-	free := max(1, v.Cap) - c.waveDown(v)
-	for i, m := range c.waveOrder(v) {
-		if i >= free+waveAhead {
+	free := max(1, v.Cap) - c.machinesDown(v)
+	for i, m := range c.waveCandidates(v) {
+		if i >= free+waveDrainAhead {
 			return
 		}
-		if c.empty(m, wavePatience) && c.waveDown(v) < max(1, v.Cap) && c.mayOrder() {
+		if c.drainMachine(m, waveDrainTimeout) && c.machinesDown(v) < max(1, v.Cap) && c.mayOrder() {
 			v.down[m.Name] = true
-			c.order(m, &machineOrder{wave: v})
+			c.recordOrder(m, &machineOrder{wave: v})
 		}
 	}
 }
 
-// dropRemoved takes machines that were removed out of the wave: they need no upkeep,
+// dropRemovedMachines takes machines that were removed out of the wave: they need no upkeep,
 // and none of them will come up again.
-func (c *Core) dropRemoved(v *wave) {
+func (c *Core) dropRemovedMachines(v *wave) {
 	for _, n := range v.Machines {
-		if c.byName[n] != nil || (!v.todo[n] && !v.down[n]) {
+		if c.machinesByName[n] != nil || (!v.pending[n] && !v.down[n]) {
 			continue
 		}
-		if v.lists < removedAfter {
-			c.listSoon()
+		if v.listsRead < removedAfterLists {
+			c.relistSoon()
 		} else {
-			c.do(Note{What: "wave machine gone", Inputs: []any{"wave", v.Number, "machine", n, "down", v.down[n]}})
+			c.emit(LogLine{What: "wave machine gone", Fields: []any{"wave", v.Number, "machine", n, "down", v.down[n]}})
 			v.drop(n)
 		}
 	}
 }
 
-// waveDown counts the machines of the wave that are down or may be: those with
+// machinesDown counts the machines of the wave that are down or may be: those with
 // an order of this owner, and those that an earlier owner's order still holds.
-func (c *Core) waveDown(v *wave) int {
+func (c *Core) machinesDown(v *wave) int {
 	n := len(v.down)
 	for _, name := range v.Machines {
-		m := c.byName[name]
-		if m != nil && !v.down[name] && (m.State == platform.MachineUpkeep || m.State == platform.MachineDown) {
+		m := c.machinesByName[name]
+		if m != nil && !v.down[name] && (m.State == platform.MachineInMaintenance || m.State == platform.MachineDown) {
 			n++
 		}
 	}
 	return n
 }
 
-// waveOrder returns the machines that can be maintained, those first that are
+// waveCandidates returns the machines that can be maintained, those first that are
 // being emptied, then those whose upkeep ends least.
-func (c *Core) waveOrder(v *wave) []*machine {
+func (c *Core) waveCandidates(v *wave) []*machine {
 	var l []*machine
 	cost := map[*machine]int{}
-	for n := range v.todo {
-		m := c.byName[n]
-		if m == nil || !c.free(m) {
+	for n := range v.pending {
+		m := c.machinesByName[n]
+		if m == nil || !c.orderable(m) {
 			continue
 		}
 		w := c.workerOf(m)
-		if !c.known(m) || (w != nil && w.Draining) {
+		if !c.runsKnown(m) || (w != nil && w.Draining) {
 			continue
 		}
 		l = append(l, m)
-		cost[m] = upkeepCost(m, w)
+		cost[m] = maintenanceCost(m, w)
 	}
 	slices.SortFunc(l, func(a, b *machine) int {
 		return cmp.Or(cmp.Compare(cost[a], cost[b]), cmp.Compare(a.Name, b.Name))
@@ -207,12 +207,12 @@
 	return l
 }
 
-// upkeepCost rates what a machine's upkeep ends.
-func upkeepCost(m *machine, w *worker) int {
+// maintenanceCost rates what a machine's upkeep ends.
+func maintenanceCost(m *machine, w *worker) int {
 	if w == nil {
 		return -2
 	}
-	if !m.emptyingSince.IsZero() {
+	if !m.drainingSince.IsZero() {
 		return -1
 	}
 	cost := 0
--- a/job/world_cancel_test.go
+++ b/job/world_cancel_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// goneWithin is the bound that docs/PROMISES.md tells: within it a run of a
+	// stopOrderedWithin is the bound that docs/PROMISES.md tells: within it a run of a
 	// cancelled job has got its order to stop, counted from the last of the
 	// cancelling, the run's start, and the time since which the owner and the
 	// worker have been in touch. A look that waits takes 1.7 s to be known as lost,
 	// and the next one 0.25 s to be sent.
-	goneWithin = lookWait + lookSlack + lookRetry + 3*tickEvery
+	stopOrderedWithin = pollWait + pollSlack + pollRetry + 3*tickEvery
 	// stopTakes is how long the model's workers take to end a run: the pages bound
 	// it at 0.2 to 0.9 s.
 	stopTakes = 400 * time.Millisecond
@@ -26,18 +26,18 @@
 
 // worldCancels is what the model draws and checks of cancelled jobs.
 type worldCancels struct {
-	// cancels are when callers were told that their jobs are cancelled.
-	cancels map[ID]time.Time
-	// told is when an owner first learned of them.
-	told map[ID]time.Time
-	// lateUntil is until when half of the orders to workers are carried out late.
-	lateUntil time.Time
-	// disturbed is when the owner of now and a worker were last out of touch.
-	disturbed map[platform.WorkerID]time.Time
+	// cancelledAt are when callers were told that their jobs are cancelled.
+	cancelledAt map[ID]time.Time
+	// cancelKnownAt is when an owner first learned of them.
+	cancelKnownAt map[ID]time.Time
+	// ordersLateUntil is until when half of the orders to workers are carried out late.
+	ordersLateUntil time.Time
+	// disturbedAt is when the owner of now and a worker were last out of touch.
+	disturbedAt map[platform.WorkerID]time.Time
 }
 
 func newWorldCancels() worldCancels {
-	return worldCancels{cancels: map[ID]time.Time{}, told: map[ID]time.Time{}, disturbed: map[platform.WorkerID]time.Time{}}
+	return worldCancels{cancelledAt: map[ID]time.Time{}, cancelKnownAt: map[ID]time.Time{}, disturbedAt: map[platform.WorkerID]time.Time{}}
 }
 
 // owner returns the owner that the store knows.
@@ -45,9 +45,9 @@
 	return w.owners[len(w.owners)-1]
 }
 
-// carriedOutLate draws for how long an order gets stuck on its way, or 0.
-func (w *world) carriedOutLate() time.Duration {
-	if !w.now.Before(w.lateUntil) || !rapid.Bool().Draw(w.t, "stuck") {
+// drawStuck draws for how long an order gets stuck on its way, or 0.
+func (w *world) drawStuck() time.Duration {
+	if !w.now.Before(w.ordersLateUntil) || !rapid.Bool().Draw(w.t, "stuck") {
 		return 0
 	}
 	return time.Duration(rapid.IntRange(2000, 4500).Draw(w.t, "stuck_ms")) * time.Millisecond
@@ -61,20 +61,20 @@
 		if !v.alive {
 			continue
 		}
-		if w.lossy || w.now.Before(w.lateUntil) || v.cut || v.hidden[o] || o.dead || o.frozen || o.fence != w.store.fence {
-			w.disturbed[v.ID] = w.now
+		if w.lossy || w.now.Before(w.ordersLateUntil) || v.partitioned || v.unreachableBy[o] || o.dead || o.frozen || o.fence != w.store.fence {
+			w.disturbedAt[v.ID] = w.now
 			continue
 		}
 		for _, r := range v.runs {
 			k, _ := parseTaskKey(r.task)
-			told, known := w.told[k.id]
+			told, known := w.cancelKnownAt[k.id]
 			if !known {
 				continue
 			}
-			since := latest(latest(told, r.began), w.disturbed[v.ID])
-			if w.now.Sub(since) > goneWithin+stopTakes {
+			since := latest(latest(told, r.began), w.disturbedAt[v.ID])
+			if w.now.Sub(since) > stopOrderedWithin+stopTakes {
 				w.t.Fatalf("%s runs on on %s: known as cancelled for %s, begun %s ago, in touch for %s",
-					r.task, v.ID, w.now.Sub(told), w.now.Sub(r.began), w.now.Sub(w.disturbed[v.ID]))
+					r.task, v.ID, w.now.Sub(told), w.now.Sub(r.began), w.now.Sub(w.disturbedAt[v.ID]))
 			}
 		}
 	}
@@ -83,13 +83,13 @@
 // checkStart fails if the owner starts a task of a job that it knows is cancelled.
 func (w *world) checkStart(o *worldOwner, a StartRun) {
 	k, _ := parseTaskKey(a.Order.Task)
-	if _, known := w.told[k.id]; known && o == w.owner() {
+	if _, known := w.cancelKnownAt[k.id]; known && o == w.owner() {
 		w.t.Fatalf("%s is started after its job was cancelled", a.Order.Task)
 	}
 }
 
-// deleted takes keys out of the store.
-func (w *world) deleted(keys []string) {
+// deleteKeys takes keys out of the store.
+func (w *world) deleteKeys(keys []string) {
 	for _, k := range keys {
 		if id, ok := strings.CutPrefix(k, cancelPrefix); ok {
 			delete(w.store.cancels, ID(id))
@@ -117,31 +117,31 @@
 		return
 	}
 	w.store.cancels[id] = true
-	if w.cancels[id].IsZero() {
-		w.cancels[id] = w.now
+	if w.cancelledAt[id].IsZero() {
+		w.cancelledAt[id] = w.now
 	}
 	o := w.owner()
 	lag := time.Duration(rapid.SampledFrom([]int{0, 0, 20, 300, 1000}).Draw(w.t, "lag_ms")) * time.Millisecond
 	w.after(lag, func() {
 		if o == w.owner() && !o.dead {
-			w.learn(id)
-			w.tell(o, CancelAsked{ID: id})
+			w.noteCancelKnown(id)
+			w.tell(o, CancelRequested{ID: id})
 		}
 	})
 }
 
-// learn notes that an owner learns of a cancelling now.
-func (w *world) learn(id ID) {
-	if _, known := w.told[id]; !known {
-		w.told[id] = w.now
+// noteCancelKnown notes that an owner learns of a cancelling now.
+func (w *world) noteCancelKnown(id ID) {
+	if _, known := w.cancelKnownAt[id]; !known {
+		w.cancelKnownAt[id] = w.now
 	}
 }
 
 // cancelLate cancels a long job while orders are carried out late.
 func (w *world) cancelLate() {
-	w.lateUntil = w.now.Add(time.Duration(rapid.IntRange(1, 25).Draw(w.t, "late_tenths")) * 100 * time.Millisecond)
+	w.ordersLateUntil = w.now.Add(time.Duration(rapid.IntRange(1, 25).Draw(w.t, "late_tenths")) * 100 * time.Millisecond)
 	id := w.submitLong()
-	w.pass(time.Duration(rapid.IntRange(0, 40).Draw(w.t, "cancel_tenths")) * 100 * time.Millisecond)
+	w.advance(time.Duration(rapid.IntRange(0, 40).Draw(w.t, "cancel_tenths")) * 100 * time.Millisecond)
 	w.cancel(id)
 }
 
@@ -168,22 +168,22 @@
 // may have forgotten those that are over.
 func (w *world) removeOwner() {
 	id := w.submitLong()
-	w.lateUntil = w.now.Add(time.Duration(rapid.IntRange(0, 10).Draw(w.t, "late_tenths")) * 100 * time.Millisecond)
-	w.pass(time.Duration(rapid.IntRange(0, 20).Draw(w.t, "remove_tenths")) * 100 * time.Millisecond)
+	w.ordersLateUntil = w.now.Add(time.Duration(rapid.IntRange(0, 10).Draw(w.t, "late_tenths")) * 100 * time.Millisecond)
+	w.advance(time.Duration(rapid.IntRange(0, 20).Draw(w.t, "remove_tenths")) * 100 * time.Millisecond)
 	before := rapid.Bool().Draw(w.t, "before")
 	if before {
 		w.cancel(id)
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
 	w.owner().dead = true
 	if before && rapid.Bool().Draw(w.t, "forgotten") {
 		w.forgetFinal()
 	}
-	w.pass(ownerTTL / 2)
+	w.advance(ownerTTL / 2)
 	if !before {
 		w.cancel(id)
 	}
-	w.pass(ownerTTL / 2)
+	w.advance(ownerTTL / 2)
 	w.takeOver()
 }
 
@@ -204,7 +204,7 @@
 // three minutes later. Runs of theirs that may go on for seconds have ended by then.
 func (w *world) forgetFinal() {
 	for id, p := range w.store.progress {
-		if p.State.Final() && p.Remains == nil {
+		if p.State.Final() && p.Leftover == nil {
 			delete(w.store.progress, id)
 		}
 	}
@@ -215,7 +215,7 @@
 	var l []string
 	for n := range v.runs {
 		k, _ := parseTaskKey(n)
-		if _, cancelled := w.cancels[k.id]; cancelled && v.alive {
+		if _, cancelled := w.cancelledAt[k.id]; cancelled && v.alive {
 			l = append(l, n)
 		}
 	}
@@ -232,24 +232,24 @@
 			"submit":     func(*rapid.T) { w.submit() },
 			"submitLong": func(*rapid.T) { w.submitLong() },
 			"pass": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 50).Draw(t, "tenths")) * 100 * time.Millisecond)
+				w.advance(time.Duration(rapid.IntRange(1, 50).Draw(t, "tenths")) * 100 * time.Millisecond)
 			},
 			"late": func(t *rapid.T) {
-				w.lateUntil = w.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "late_tenths")) * 100 * time.Millisecond)
+				w.ordersLateUntil = w.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "late_tenths")) * 100 * time.Millisecond)
 			},
 			"cancel":     func(*rapid.T) { w.cancelSome() },
 			"cancelLate": func(*rapid.T) { w.cancelLate() },
 			"cancelLong": func(*rapid.T) { w.cancelLong() },
-			"cut":        func(*rapid.T) { v := w.some(); v.cut = !v.cut },
+			"cut":        func(*rapid.T) { v := w.pickWorker(); v.partitioned = !v.partitioned },
 			"crash":      func(*rapid.T) { w.crash() },
 			"unlist":     func(*rapid.T) { w.unlist() },
 			"remove":     func(*rapid.T) { w.removeOwner() },
-			"freeze":     func(*rapid.T) { w.succeed(w.freeze) },
+			"freeze":     func(*rapid.T) { w.replaceOwner(w.freeze) },
 			"split":      func(*rapid.T) { w.split() },
 		})
 		w.cancelLong()
 		w.heal()
-		w.pass(ownerAuthority + goneWithin + stopTakes)
+		w.advance(ownerAuthority + stopOrderedWithin + stopTakes)
 		require.Empty(t, w.store.records, "jobs that never end")
 		for _, v := range w.workers {
 			require.Empty(t, v.leftovers(w), "runs of cancelled jobs")
--- a/job/world_crash_test.go
+++ b/job/world_crash_test.go
@@ -14,15 +14,15 @@
 type worldCrashes struct {
 	// crashers are jobs of which the first task crashes each worker that starts it.
 	crashers map[ID]bool
-	// under counts the crashes of workers on which a task was, startsAfter the starts of a
+	// crashesUnder counts the crashes of workers on which a task was, startsAfter the starts of a
 	// task after so many that the users expect it to be given up.
-	under, startsAfter map[string]int
+	crashesUnder, startsAfter map[string]int
 	// ordered are the workers to which a start of a task was sent, and crashed since; an
 	// owner that gets no answer cannot know whether it was carried out.
 	ordered map[string]map[platform.WorkerID]bool
 	// roomOrdered is the room that a worker had when a start there was ordered.
-	roomOrdered map[strayID]int64
-	lostIn      map[string]int
+	roomOrdered        map[rawRunID]int64
+	unconfirmedCrashes map[string]int
 	// tenures is the number of owners so far, tenuresAt what it was at a task's first start.
 	tenures   int
 	tenuresAt map[string]int
@@ -30,8 +30,8 @@
 
 func newWorldCrashes() worldCrashes {
 	return worldCrashes{
-		crashers: map[ID]bool{}, under: map[string]int{}, startsAfter: map[string]int{}, tenuresAt: map[string]int{},
-		ordered: map[string]map[platform.WorkerID]bool{}, roomOrdered: map[strayID]int64{}, lostIn: map[string]int{},
+		crashers: map[ID]bool{}, crashesUnder: map[string]int{}, startsAfter: map[string]int{}, tenuresAt: map[string]int{},
+		ordered: map[string]map[platform.WorkerID]bool{}, roomOrdered: map[rawRunID]int64{}, unconfirmedCrashes: map[string]int{},
 	}
 }
 
@@ -56,7 +56,7 @@
 	if _, begun := w.tenuresAt[name]; !begun {
 		w.tenuresAt[name] = w.tenures
 	}
-	if w.under[name] >= crashesBorne {
+	if w.crashesUnder[name] >= crashesBorne {
 		w.startsAfter[name]++
 	}
 	if lost := w.tenures - w.tenuresAt[name]; w.startsAfter[name] > startsAfterBorne+lost {
@@ -78,30 +78,30 @@
 	if !w.workers[a.Worker.ID].alive {
 		// It had crashed before the order went out, of which nobody had heard: an owner
 		// knows as little of whether that start was carried out.
-		w.lostIn[a.Order.Task]++
+		w.unconfirmedCrashes[a.Order.Task]++
 	}
-	w.roomOrdered[strayID{task: a.Order.Task, number: a.Order.Run}] = w.workers[a.Worker.ID].room(w.now)
+	w.roomOrdered[rawRunID{task: a.Order.Task, number: a.Order.Run}] = w.workers[a.Worker.ID].room(w.now)
 }
 
 // crashWorker ends a life; its machine starts another.
 func (w *world) crashWorker(v *worldWorker) {
 	w.noteCrash(v)
 	w.addWorker(v.Host)
-	w.after(2*time.Second, func() { w.tellGone(v) })
+	w.after(2*time.Second, func() { w.deleteRecord(v) })
 }
 
 // noteCrash ends a life and all that runs there.
 func (w *world) noteCrash(v *worldWorker) {
 	for t := range v.runs {
-		w.under[t]++
+		w.crashesUnder[t]++
 	}
 	for _, e := range v.ended {
 		// Nobody will hear that it had ended before.
-		w.under[e.row.Task]++
+		w.crashesUnder[e.row.Task]++
 	}
 	for t, at := range w.ordered {
 		if at[v.ID] {
-			w.lostIn[t]++
+			w.unconfirmedCrashes[t]++
 		}
 	}
 	v.alive = false
@@ -118,7 +118,7 @@
 		}
 		for x := range s.Count {
 			name := taskKey{id: id, step: i, index: x}.String()
-			if w.under[name] >= crashesToGiveUp || w.lostIn[name] >= crashLimitUnsure {
+			if w.crashesUnder[name] >= crashesToGiveUp || w.unconfirmedCrashes[name] >= crashLimitUnconfirmed {
 				return
 			}
 		}
@@ -126,23 +126,23 @@
 	w.t.Fatalf("job %s is shown as failed without cause", id)
 }
 
-// TestCrashingTasksAreGivenUpUnderFaults drives owners through jobs whose tasks crash
+// TestCrashingTasksFailUnderFaults drives owners through jobs whose tasks crash
 // their workers, beside others that are sound, with workers that crash by themselves,
 // owners that come and go, and messages that are lost.
-func TestCrashingTasksAreGivenUpUnderFaults(t *testing.T) {
+func TestCrashingTasksFailUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":  func(*rapid.T) { w.submit() },
 			"crasher": func(*rapid.T) { w.submitCrasher() },
 			"pass": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 10).Draw(t, "tenths")) * 100 * time.Millisecond)
+				w.advance(time.Duration(rapid.IntRange(1, 10).Draw(t, "tenths")) * 100 * time.Millisecond)
 			},
 			"lossy":  func(t *rapid.T) { w.lossy = rapid.Bool().Draw(t, "lossy") },
 			"crash":  func(*rapid.T) { w.crash() },
-			"cut":    func(*rapid.T) { v := w.some(); v.cut = !v.cut },
-			"kill":   func(*rapid.T) { w.succeed(func(o *worldOwner) { o.dead = true }) },
-			"freeze": func(*rapid.T) { w.succeed(w.freeze) },
+			"cut":    func(*rapid.T) { v := w.pickWorker(); v.partitioned = !v.partitioned },
+			"kill":   func(*rapid.T) { w.replaceOwner(func(o *worldOwner) { o.dead = true }) },
+			"freeze": func(*rapid.T) { w.replaceOwner(w.freeze) },
 		})
 		w.heal()
 		require.Empty(t, w.store.records, "jobs that never end")
--- a/job/world_lasting_test.go
+++ b/job/world_lasting_test.go
@@ -15,28 +15,28 @@
 
 // Figures of the model's lasting tasks.
 const (
-	// noticeAfter is how long a task that was not ended by an order may be away before it
+	// unavailableAfter is how long a task that was not ended by an order may be away before it
 	// counts: the pages say 4.5 to 5.5 s.
-	noticeAfter = 4500 * time.Millisecond
-	// warmLeast and warmMost bound how long a task takes to be at work.
-	warmLeast, warmMost = 300, 1500
-	// maintained is how long upkeep takes.
-	maintained = 2 * time.Second
+	unavailableAfter = 4500 * time.Millisecond
+	// minWarmUpMS and warmMost bound how long a task takes to be at work.
+	minWarmUpMS, maxWarmUpMS = 300, 1500
+	// maintenanceTakes is how long upkeep takes.
+	maintenanceTakes = 2 * time.Second
 )
 
 // worldLasting is what the model knows of lasting tasks that are away, and of waves.
 type worldLasting struct {
-	// looksWait has a look wait for an end, as workers do.
-	looksWait bool
-	// away are the lasting tasks that are not at work.
-	away  map[string]*worldAway
-	waves []platform.Wave
-	// upkeeps are the hosts that have their upkeep now.
-	upkeeps map[string]bool
-	// done are the machines that each wave has maintained.
-	done map[int64]map[string]bool
-	// stalled are the workers on which tasks make no progress, until the time.
-	stalled map[*worldWorker]time.Time
+	// pollsWait has a look wait for an end, as workers do.
+	pollsWait bool
+	// unavailable are the lasting tasks that are not at work.
+	unavailable map[string]*worldUnavailable
+	waves       []platform.Wave
+	// inMaintenance are the hosts that have their upkeep now.
+	inMaintenance map[string]bool
+	// maintainedBy are the machines that each wave has maintained.
+	maintainedBy map[int64]map[string]bool
+	// stalledUntil are the workers on which tasks make no progress, until the time.
+	stalledUntil map[*worldWorker]time.Time
 	// log has what owners have noted of late, but for moves of machines.
 	log []worldNote
 }
@@ -45,24 +45,24 @@
 type worldNote struct {
 	at    time.Time
 	fence platform.Fence
-	Note
+	LogLine
 }
 
 // String tells of the note on one line.
 func (n worldNote) String() string {
-	return fmt.Sprintf("%s owner %d: %s %s run %d on %s: %s %v", n.at.Format("05.000"), n.fence, n.What, n.Task, n.Run, n.Worker, n.Why, n.Inputs)
+	return fmt.Sprintf("%s owner %d: %s %s run %d on %s: %s %v", n.at.Format("05.000"), n.fence, n.What, n.Task, n.Run, n.Worker, n.Why, n.Fields)
 }
 
-// keptNotes is how many notes of owners are kept for a failure.
-const keptNotes = 400
+// maxNotes is how many notes of owners are kept for a failure.
+const maxNotes = 400
 
 // keepNote keeps a note of an owner.
-func (w *world) keepNote(o *worldOwner, n Note) {
+func (w *world) keepNote(o *worldOwner, n LogLine) {
 	if n.What == "move" || n.What == "machine ordered" || n.What == "pool" {
 		return
 	}
-	w.log = append(w.log, worldNote{at: w.now, fence: o.fence, Note: n})
-	if len(w.log) > keptNotes {
+	w.log = append(w.log, worldNote{at: w.now, fence: o.fence, LogLine: n})
+	if len(w.log) > maxNotes {
 		w.log = w.log[1:]
 	}
 }
@@ -87,29 +87,29 @@
 // anyNote holds for each note.
 func anyNote(worldNote) bool { return true }
 
-// worldAway is a lasting task that is not at work.
-type worldAway struct {
+// worldUnavailable is a lasting task that is not at work.
+type worldUnavailable struct {
 	since time.Time
 	// byOrder says that an order has ended it since it was last at work.
 	byOrder bool
 }
 
 func newWorldLasting() worldLasting {
-	return worldLasting{away: map[string]*worldAway{}, upkeeps: map[string]bool{}, done: map[int64]map[string]bool{}, stalled: map[*worldWorker]time.Time{}}
+	return worldLasting{unavailable: map[string]*worldUnavailable{}, inMaintenance: map[string]bool{}, maintainedBy: map[int64]map[string]bool{}, stalledUntil: map[*worldWorker]time.Time{}}
 }
 
-// warmth returns how far a lasting run is on its way to be at work.
-func (r *worldRun) warmth(now time.Time) int {
+// warmUpPercent returns how far a lasting run is on its way to be at work.
+func (r *worldRun) warmUpPercent(now time.Time) int {
 	left := r.atWorkAt.Sub(now)
 	if left <= 0 {
 		return 100
 	}
-	return int(max(0, 100*(r.takes-left)/max(1, r.takes)))
+	return int(max(0, 100*(r.warmUpFor-left)/max(1, r.warmUpFor)))
 }
 
 // atWork reports whether the run is at work.
 func (r *worldRun) atWork(now time.Time) bool {
-	return r.step.Lasting && r.how != platform.EndStopped && r.warmth(now) == 100
+	return r.step.Lasting && r.how != platform.EndStopped && r.warmUpPercent(now) == 100
 }
 
 // warmUp draws how long a lasting run takes to be at work.
@@ -117,17 +117,17 @@
 	if !r.step.Lasting {
 		return
 	}
-	if r.step.MayMiss > 0 {
-		r.takes = time.Duration(rapid.IntRange(warmLeast, warmMost).Draw(w.t, "warm_ms")) * time.Millisecond
+	if r.step.MaxUnavailable > 0 {
+		r.warmUpFor = time.Duration(rapid.IntRange(minWarmUpMS, maxWarmUpMS).Draw(w.t, "warm_ms")) * time.Millisecond
 	}
-	r.atWorkAt = latest(w.now, w.stalled[v]).Add(r.takes)
+	r.atWorkAt = latest(w.now, w.stalledUntil[v]).Add(r.warmUpFor)
 }
 
 // stall has some worker's tasks make no progress for a while.
 func (w *world) stall() {
-	v := w.some()
+	v := w.pickWorker()
 	d := time.Duration(rapid.IntRange(1, 6).Draw(w.t, "stalled_s")) * time.Second
-	w.stalled[v] = w.now.Add(d)
+	w.stalledUntil[v] = w.now.Add(d)
 	for _, r := range v.runs {
 		if r.step.Lasting && !r.atWork(w.now) {
 			r.atWorkAt = r.atWorkAt.Add(d)
@@ -135,8 +135,8 @@
 	}
 }
 
-// watchLasting notes which lasting tasks are at work.
-func (w *world) watchLasting() {
+// trackLasting notes which lasting tasks are at work.
+func (w *world) trackLasting() {
 	atWork := map[string]bool{}
 	for _, v := range w.workers {
 		for _, r := range v.runs {
@@ -148,20 +148,20 @@
 	for id, rec := range w.jobs {
 		for i, s := range rec.Steps {
 			for x := range s.Count {
-				if s.Lasting && s.MayMiss > 0 {
-					w.watchTask(taskKey{id: id, step: i, index: x}.String(), atWork)
+				if s.Lasting && s.MaxUnavailable > 0 {
+					w.trackTask(taskKey{id: id, step: i, index: x}.String(), atWork)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) watchTask(task string, atWork map[string]bool) {
+func (w *world) trackTask(task string, atWork map[string]bool) {
 	switch {
 	case atWork[task]:
-		delete(w.away, task)
-	case w.away[task] == nil:
-		w.away[task] = &worldAway{since: w.now}
+		delete(w.unavailable, task)
+	case w.unavailable[task] == nil:
+		w.unavailable[task] = &worldUnavailable{since: w.now}
 	}
 }
 
@@ -169,48 +169,48 @@
 // away as the step may miss, unless the worker says that it leaves, the order was held up,
 // or the job is cancelled.
 func (w *world) endedByOrder(v *worldWorker, r *worldRun, late bool) {
-	if !r.atWork(w.now) || r.step.MayMiss == 0 {
+	if !r.atWork(w.now) || r.step.MaxUnavailable == 0 {
 		return
 	}
 	k, _ := parseTaskKey(r.task)
-	_, cancelled := w.cancels[k.id]
+	_, cancelled := w.cancelledAt[k.id]
 	if !v.Draining && !late && !cancelled {
 		w.checkOthers(v, r, k)
 	}
-	if w.away[r.task] == nil {
-		w.away[r.task] = &worldAway{since: w.now}
+	if w.unavailable[r.task] == nil {
+		w.unavailable[r.task] = &worldUnavailable{since: w.now}
 	}
-	w.away[r.task].byOrder = true
+	w.unavailable[r.task].byOrder = true
 }
 
 func (w *world) checkOthers(v *worldWorker, r *worldRun, k taskKey) {
 	var away []string
 	for x := range w.jobs[k.id].Steps[k.step].Count {
 		o := taskKey{id: k.id, step: k.step, index: x}.String()
-		a := w.away[o]
-		if o != r.task && a != nil && (a.byOrder || w.now.Sub(a.since) >= noticeAfter) {
+		a := w.unavailable[o]
+		if o != r.task && a != nil && (a.byOrder || w.now.Sub(a.since) >= unavailableAfter) {
 			away = append(away, fmt.Sprintf("%s for %s, by an order: %t", o, w.now.Sub(a.since), a.byOrder))
 		}
 	}
-	if len(away) >= r.step.MayMiss {
+	if len(away) >= r.step.MaxUnavailable {
 		w.t.Fatalf("run %d of %s on %s, begun %s ago, is ended at work while %d others of its step are away, which may miss %d: %s\n%s",
-			r.number, r.task, v.ID, w.now.Sub(r.began), len(away), r.step.MayMiss, strings.Join(away, "; "), w.notesOn(k, v))
+			r.number, r.task, v.ID, w.now.Sub(r.began), len(away), r.step.MaxUnavailable, strings.Join(away, "; "), w.notesOn(k, v))
 	}
 }
 
-// answerLook answers a look, after an end or the time that it may wait.
-func (w *world) answerLook(v *worldWorker, a LookAt, answer func(Event)) {
+// answerPoll answers a look, after an end or the time that it may wait.
+func (w *world) answerPoll(v *worldWorker, a PollWorker, answer func(Event)) {
 	sent := w.now
-	e := w.look(v, a)
-	l, ok := e.(Looked)
-	if !w.looksWait || a.Order.Wait == 0 || !ok || l.Rejection != "" {
+	e := w.poll(v, a)
+	l, ok := e.(PollResult)
+	if !w.pollsWait || a.Order.Wait == 0 || !ok || l.Rejection != "" {
 		answer(e)
 		return
 	}
 	w.awaitEnd(v, a, sent, answer)
 }
 
-func (w *world) awaitEnd(v *worldWorker, a LookAt, sent time.Time, answer func(Event)) {
+func (w *world) awaitEnd(v *worldWorker, a PollWorker, sent time.Time, answer func(Event)) {
 	if !v.alive {
 		answer(nil)
 		return
@@ -219,27 +219,27 @@
 		w.after(10*time.Millisecond, func() { w.awaitEnd(v, a, sent, answer) })
 		return
 	}
-	e := w.look(v, a)
-	if l, ok := e.(Looked); ok {
+	e := w.poll(v, a)
+	if l, ok := e.(PollResult); ok {
 		l.SentAt = sent
 		e = l
 	}
 	answer(e)
 }
 
-// askWave asks for the upkeep of some hosts.
-func (w *world) askWave() {
+// requestWave asks for the upkeep of some hosts.
+func (w *world) requestWave() {
 	v := platform.Wave{Number: int64(len(w.waves) + 1), Within: 20 * time.Second, Cap: rapid.IntRange(1, 2).Draw(w.t, "cap")}
-	for _, x := range w.order {
+	for _, x := range w.workersByStart {
 		if x.alive && !slices.Contains(v.Machines, x.Host) && rapid.Bool().Draw(w.t, "in_wave") {
 			v.Machines = append(v.Machines, x.Host)
 		}
 	}
 	w.waves = append(w.waves, v)
-	w.done[v.Number] = map[string]bool{}
+	w.maintainedBy[v.Number] = map[string]bool{}
 	for _, o := range w.owners {
 		if o.fence == w.store.fence {
-			w.tell(o, WaveAsked{Wave: v})
+			w.tell(o, WaveRequested{Wave: v})
 		}
 	}
 }
@@ -262,19 +262,19 @@
 
 // maintain carries out the upkeep of a host.
 func (w *world) maintain(a MaintainMachine) Event {
-	e := MachineOrdered{Machine: a.Machine}
-	if w.done[a.Wave][a.Machine] {
+	e := MachineOrderResult{Machine: a.Machine}
+	if w.maintainedBy[a.Wave][a.Machine] {
 		return e
 	}
-	for _, v := range w.order {
+	for _, v := range w.workersByStart {
 		if !v.alive || v.Host != a.Machine {
 			continue
 		}
-		if v.Draining || v.down {
+		if v.Draining || v.notStarted {
 			e.Verdict = platform.OrderBusy
 			return e
 		}
-		w.done[a.Wave][a.Machine] = true
+		w.maintainedBy[a.Wave][a.Machine] = true
 		for _, r := range v.runs {
 			w.endedByOrder(v, r, false)
 		}
@@ -289,22 +289,22 @@
 func (w *world) halt(v *worldWorker) {
 	v.alive = false
 	v.runs = map[string]*worldRun{}
-	w.tellGone(v)
-	w.upkeeps[v.Host] = true
-	w.after(maintained, func() {
-		delete(w.upkeeps, v.Host)
+	w.deleteRecord(v)
+	w.inMaintenance[v.Host] = true
+	w.after(maintenanceTakes, func() {
+		delete(w.inMaintenance, v.Host)
 		w.addWorker(v.Host)
 	})
 }
 
 // drain has some worker say that it leaves, and end four seconds later.
 func (w *world) drain() {
-	v := w.some()
-	if v.Draining || v.unlisted || v.down {
+	v := w.pickWorker()
+	if v.Draining || v.unlisted || v.notStarted {
 		return
 	}
 	v.Draining = true
-	w.tellRecord(v)
+	w.writeRecord(v)
 	w.after(4*time.Second, func() {
 		if v.alive {
 			w.removeHost(v)
@@ -314,7 +314,7 @@
 
 // failLasting has a lasting task of some worker fail by itself.
 func (w *world) failLasting() {
-	v := w.some()
+	v := w.pickWorker()
 	for _, n := range slices.Sorted(maps.Keys(v.runs)) {
 		if r := v.runs[n]; r.step.Lasting && r.how == platform.EndDone {
 			r.how, r.endsAt = platform.EndFailed, w.now
@@ -323,47 +323,47 @@
 	}
 }
 
-// handInMissing adds a job of lasting tasks of which so many may be away.
-func (w *world) handInMissing(count, mayMiss int) ID {
-	return w.submitSteps(platform.Step{Count: count, Lasting: true, MayMiss: mayMiss, Resources: platform.Resources{MilliCores: 300}})
+// submitLastingTasks adds a job of lasting tasks of which so many may be away.
+func (w *world) submitLastingTasks(count, mayMiss int) ID {
+	return w.submitSteps(platform.Step{Count: count, Lasting: true, MaxUnavailable: mayMiss, Resources: platform.Resources{MilliCores: 300}})
 }
 
-// TestLastingTasksAreNotTakenAwayBeyondWhatTheyMayMiss empties workers for waves and drains
+// TestLastingTasksStayWithinMaxUnavailable empties workers for waves and drains
 // beside lost and late orders, tasks that fail and stand still, and changes of owner. Each
 // order that ends a task at work is held against the others of its step.
-func TestLastingTasksAreNotTakenAwayBeyondWhatTheyMayMiss(t *testing.T) {
+func TestLastingTasksStayWithinMaxUnavailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		w.looksWait = true
+		w.pollsWait = true
 		for range 3 {
 			w.hosts++
 			w.addWorker(fmt.Sprint("host-", w.hosts))
 		}
 		// The cap of their team bears ten such tasks.
 		for range 2 {
-			w.handInMissing(rapid.IntRange(2, 5).Draw(t, "tasks"), rapid.IntRange(1, 2).Draw(t, "may_miss"))
+			w.submitLastingTasks(rapid.IntRange(2, 5).Draw(t, "tasks"), rapid.IntRange(1, 2).Draw(t, "may_miss"))
 		}
-		w.pass(4 * time.Second)
+		w.advance(4 * time.Second)
 		t.Repeat(map[string]func(*rapid.T){
-			"wave":   func(*rapid.T) { w.askWave() },
+			"wave":   func(*rapid.T) { w.requestWave() },
 			"drain":  func(*rapid.T) { w.drain() },
 			"stall":  func(*rapid.T) { w.stall() },
 			"fail":   func(*rapid.T) { w.failLasting() },
 			"submit": func(*rapid.T) { w.submit() },
 			"pass": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
+				w.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
 			},
 			"pass on": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
+				w.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
 			},
 			"lossy":   func(t *rapid.T) { w.lossy = rapid.Bool().Draw(t, "lossy") },
-			"cut":     func(*rapid.T) { v := w.some(); v.cut = !v.cut },
+			"cut":     func(*rapid.T) { v := w.pickWorker(); v.partitioned = !v.partitioned },
 			"crash":   func(*rapid.T) { w.crash() },
-			"late":    func(*rapid.T) { w.lateUntil = w.now.Add(2 * time.Second) },
-			"kill":    func(*rapid.T) { w.succeed(func(o *worldOwner) { o.dead = true }) },
-			"freeze":  func(*rapid.T) { w.succeed(w.freeze) },
+			"late":    func(*rapid.T) { w.ordersLateUntil = w.now.Add(2 * time.Second) },
+			"kill":    func(*rapid.T) { w.replaceOwner(func(o *worldOwner) { o.dead = true }) },
+			"freeze":  func(*rapid.T) { w.replaceOwner(w.freeze) },
 			"split":   func(*rapid.T) { w.split() },
-			"abandon": func(*rapid.T) { w.abandon() },
+			"abandon": func(*rapid.T) { w.deposeOwner() },
 			"unlist":  func(*rapid.T) { w.unlist() },
 			"cancel":  func(*rapid.T) { w.cancelSome() },
 			"slow": func(t *rapid.T) {
@@ -373,30 +373,30 @@
 			"cut record": func(*rapid.T) { w.cutRecord() },
 		})
 		w.heal()
-		if l := w.stillAway(); len(l) > 0 {
+		if l := w.stillUnavailable(); len(l) > 0 {
 			t.Fatalf("tasks that never come to work: %v\n%s", l, w.notes(anyNote))
 		}
 	})
 }
 
-// stillAway lets time pass until all lasting tasks are at work, for two minutes at most, and
+// stillUnavailable lets time pass until all lasting tasks are at work, for two minutes at most, and
 // returns those that are not: stops that wait for one another must not do so for good.
-func (w *world) stillAway() []string {
+func (w *world) stillUnavailable() []string {
 	for range 120 {
-		if len(w.awayNow()) == 0 {
+		if len(w.unavailableNow()) == 0 {
 			break
 		}
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
-	return w.awayNow()
+	return w.unavailableNow()
 }
 
-// awayNow returns the lasting tasks of jobs that go on that are not at work.
-func (w *world) awayNow() []string {
+// unavailableNow returns the lasting tasks of jobs that go on that are not at work.
+func (w *world) unavailableNow() []string {
 	var l []string
-	for n := range w.away {
+	for n := range w.unavailable {
 		k, _ := parseTaskKey(n)
-		if _, cancelled := w.cancels[k.id]; !cancelled {
+		if _, cancelled := w.cancelledAt[k.id]; !cancelled {
 			l = append(l, n)
 		}
 	}
--- a/job/world_link_test.go
+++ b/job/world_link_test.go
@@ -16,14 +16,14 @@
 type worldLinks struct {
 	// slowBy is how many times longer messages and writes take than they do at best.
 	slowBy int
-	// carries is what each owner's link carries, in bytes a second either way; zero is
+	// linkRate is what each owner's link carries, in bytes a second either way; zero is
 	// no bound. free is when what an owner has on its way is through.
-	carries float64
+	linkRate float64
 	// spec is what each job's tasks are told, which each start carries.
-	spec     string
-	free     map[*worldOwner]time.Time
-	lapsed   int
-	renewals renewals
+	spec       string
+	linkFreeAt map[*worldOwner]time.Time
+	lapsed     int
+	renewals   renewals
 }
 
 // renewals are those of the newest owner's lease.
@@ -33,20 +33,20 @@
 	// one took.
 	renewedAt time.Time
 	longest   time.Duration
-	ends      int
+	expires   int
 }
 
 func newWorldLinks() worldLinks {
-	return worldLinks{slowBy: 1, spec: "s", free: map[*worldOwner]time.Time{}}
+	return worldLinks{slowBy: 1, spec: "s", linkFreeAt: map[*worldOwner]time.Time{}}
 }
 
-// holdUp returns how much longer a message of a size takes on the owner's link.
-func (w *world) holdUp(o *worldOwner, bytes int) time.Duration {
-	if w.carries == 0 {
+// linkDelay returns how much longer a message of a size takes on the owner's link.
+func (w *world) linkDelay(o *worldOwner, bytes int) time.Duration {
+	if w.linkRate == 0 {
 		return 0
 	}
-	w.free[o] = latest(w.free[o], w.now).Add(time.Duration(float64(bytes) / w.carries * float64(time.Second)))
-	return w.free[o].Sub(w.now)
+	w.linkFreeAt[o] = latest(w.linkFreeAt[o], w.now).Add(time.Duration(float64(bytes) / w.linkRate * float64(time.Second)))
+	return w.linkFreeAt[o].Sub(w.now)
 }
 
 // bytesOf returns what an order and its answer take on the owner's link. An answer
@@ -55,9 +55,9 @@
 	switch a := a.(type) {
 	case StartRun:
 		return startBytes + len(a.Order.Spec), 90
-	case LookAt:
+	case PollWorker:
 		v := w.workers[id]
-		return lookBytes, 120 + 75*(len(v.runs)+len(v.ended))
+		return pollBytes, 120 + 75*(len(v.runs)+len(v.ended))
 	}
 	return orderBytes, 90
 }
@@ -65,22 +65,22 @@
 // renew sends the renewals of the newest owner's lease over its link.
 func (w *world) renew() {
 	o := w.owners[len(w.owners)-1]
-	if w.carries == 0 || w.now.Before(w.renewals.nextAt) {
+	if w.linkRate == 0 || w.now.Before(w.renewals.nextAt) {
 		return
 	}
 	w.renewals.nextAt = w.now.Add(renewEvery)
 	sent := w.now
-	took := w.holdUp(o, 120) + w.holdUp(o, 90)
+	took := w.linkDelay(o, 120) + w.linkDelay(o, 90)
 	w.renewals.longest = max(w.renewals.longest, took)
 	if took > renewTimeout {
 		if sent.Sub(w.renewals.renewedAt) > ownerTTL {
-			w.renewals.ends++
+			w.renewals.expires++
 		}
 		return
 	}
 	w.after(took, func() {
 		w.renewals.renewedAt = sent
-		w.tell(o, Renewed{SentAt: sent})
+		w.tell(o, LeaseRenewed{SentAt: sent})
 	})
 }
 
@@ -92,28 +92,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		megabits := rapid.Float64Range(2, 10).Draw(t, "megabits")
-		w.carries = megabits * bytesPerMegabit
+		w.linkRate = megabits * bytesPerMegabit
 		w.spec = strings.Repeat("s", 1000)
 		w.renewals.renewedAt = w.now
 		told := rapid.SampledFrom([]float64{0, megabits, 2 * megabits}).Draw(t, "told")
-		w.owners[0].core.flow = newFlow(Size{Link: told}, w.now)
+		w.owners[0].core.flow = newFlowControl(Size{LinkMbps: told}, w.now)
 		workers := rapid.IntRange(20, 40).Draw(t, "workers")
 		for i := range workers {
 			w.hosts++
 			w.addWorker(fmt.Sprint("narrow-host-", i))
 		}
-		w.pass(2 * time.Second)
-		lasting := platform.Step{Count: workers / 2, Lasting: true, MayMiss: 2, MaxPerWorker: 1, Resources: platform.Resources{MilliCores: 500}}
+		w.advance(2 * time.Second)
+		lasting := platform.Step{Count: workers / 2, Lasting: true, MaxUnavailable: 2, MaxPerWorker: 1, Resources: platform.Resources{MilliCores: 500}}
 		w.submitSteps(lasting)
-		w.pass(3 * time.Second)
+		w.advance(3 * time.Second)
 		for range rapid.IntRange(50, 150).Draw(t, "jobs") {
 			w.submitSteps(platform.Step{Count: 20, Estimate: 300 * time.Millisecond, Resources: platform.Resources{MilliCores: 250}})
 		}
-		w.pass(10 * time.Second)
+		w.advance(10 * time.Second)
 		if told > 0 {
 			require.Less(t, w.renewals.longest, renewTimeout)
 		}
-		require.Zero(t, w.renewals.ends)
+		require.Zero(t, w.renewals.expires)
 		require.Zero(t, w.lapsed, "leases that lapsed")
 	})
 }
--- a/job/world_machines_test.go
+++ b/job/world_machines_test.go
@@ -13,11 +13,11 @@
 // listMachines answers a list of machines: a row for each host that is there, also for
 // those that are cut off. Its pages are no snapshot, so that a faulty world leaves out
 // a host now and then, though never the same one twice in a row.
-func (w *world) listMachines() MachinesListed {
-	e := MachinesListed{SentAt: w.now}
+func (w *world) listMachines() MachineList {
+	e := MachineList{SentAt: w.now}
 	before := w.skipped
 	w.skipped = map[string]bool{}
-	for _, v := range w.order {
+	for _, v := range w.workersByStart {
 		if !v.alive {
 			continue
 		}
@@ -29,22 +29,22 @@
 			Name: v.Host, Pool: v.Service, State: platform.MachineUp, Worker: v.ID.Name(), Capacity: v.Capacity,
 		})
 	}
-	for h := range w.upkeeps {
-		e.Machines = append(e.Machines, platform.Machine{Name: h, Pool: "blue", State: platform.MachineUpkeep})
+	for h := range w.inMaintenance {
+		e.Machines = append(e.Machines, platform.Machine{Name: h, Pool: "blue", State: platform.MachineInMaintenance})
 	}
 	return e
 }
 
 // remove takes some host away for good.
 func (w *world) remove() {
-	w.removeHost(w.some())
+	w.removeHost(w.pickWorker())
 }
 
 // removeHost takes a host away for good. Another comes in its place.
 func (w *world) removeHost(v *worldWorker) {
 	v.alive = false
 	v.runs = map[string]*worldRun{}
-	w.tellGone(v)
+	w.deleteRecord(v)
 	w.hosts++
 	w.addWorker(fmt.Sprint("host-", w.hosts))
 }
@@ -52,25 +52,25 @@
 // cutRecord has the store forget the record of a worker that runs on, cut off from it
 // and from the owners for a while.
 func (w *world) cutRecord() {
-	v := w.some()
-	v.cut = true
-	w.tellGone(v)
+	v := w.pickWorker()
+	v.partitioned = true
+	w.deleteRecord(v)
 	v.unlisted = true
 	w.after(time.Duration(rapid.IntRange(1, 15).Draw(w.t, "cut_s"))*time.Second, func() {
-		v.cut, v.unlisted = false, false
+		v.partitioned, v.unlisted = false, false
 		if v.alive {
-			w.tellRecord(v)
+			w.writeRecord(v)
 		}
 	})
 }
 
-// handInLasting adds a job of one lasting task.
-func (w *world) handInLasting() ID {
+// submitLasting adds a job of one lasting task.
+func (w *world) submitLasting() ID {
 	id := ID(fmt.Sprintf("%016x", len(w.jobs)+1))
 	w.store.revision++
 	s := platform.Step{Count: 1, Lasting: true, Resources: platform.Resources{MilliCores: 1000}}
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{s}}, w.now)
-	a := Accepted{ID: id, Record: rec, Created: w.store.revision}
+	a := JobAccepted{ID: id, Record: rec, Created: w.store.revision}
 	w.jobs[id] = rec
 	w.store.records[id] = a
 	w.tell(w.owners[len(w.owners)-1], a)
@@ -93,16 +93,16 @@
 func TestLastingTaskOfARemovedHostGoesOnUnderTheNextOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		task := taskKey{id: w.handInLasting()}.String()
-		w.pass(time.Duration(rapid.IntRange(5, 30).Draw(t, "at_work_tenths")) * 100 * time.Millisecond)
+		task := taskKey{id: w.submitLasting()}.String()
+		w.advance(time.Duration(rapid.IntRange(5, 30).Draw(t, "at_work_tenths")) * 100 * time.Millisecond)
 		v := w.runsOn(task)
 		if v == nil {
 			t.Fatalf("%s does not run", task)
 		}
 		w.removeHost(v)
-		w.pass(time.Duration(rapid.IntRange(0, 4000).Draw(t, "killed_after_ms")) * time.Millisecond)
-		w.succeed(func(o *worldOwner) { o.dead = true })
-		w.pass(lastingTaskAgainWithin)
+		w.advance(time.Duration(rapid.IntRange(0, 4000).Draw(t, "killed_after_ms")) * time.Millisecond)
+		w.replaceOwner(func(o *worldOwner) { o.dead = true })
+		w.advance(lastingTaskAgainWithin)
 		if w.runsOn(task) == nil {
 			t.Fatalf("%s does not run %s after the takeover", task, lastingTaskAgainWithin)
 		}
--- a/job/world_teams_test.go
+++ b/job/world_teams_test.go
@@ -20,7 +20,7 @@
 	limit  int64
 	limits []worldLimit
 	// limitOrdered is what the cap of a run's team allowed when it was ordered.
-	limitOrdered map[strayID]int64
+	limitOrdered map[rawRunID]int64
 }
 
 // worldLimit is a cap that was in force until a time.
@@ -29,11 +29,11 @@
 	until time.Time
 }
 
-// configShows is how long after a change of caps a start may go by the one before.
-const configShows = 500 * time.Millisecond
+// configDelay is how long after a change of caps a start may go by the one before.
+const configDelay = 500 * time.Millisecond
 
 func newWorldTeams() worldTeams {
-	return worldTeams{version: 1, limit: 4000, limitOrdered: map[strayID]int64{}}
+	return worldTeams{version: 1, limit: 4000, limitOrdered: map[rawRunID]int64{}}
 }
 
 // config returns the configuration in force.
@@ -55,9 +55,9 @@
 	w.limit = rapid.SampledFrom([]int64{2000, 3000, 6000}).Draw(w.t, "cap")
 	w.version++
 	d := w.config()
-	w.after(configShows/2, func() {
+	w.after(configDelay/2, func() {
 		for _, o := range w.owners {
-			w.tell(o, ConfigTaken{Config: d})
+			w.tell(o, ConfigChanged{Config: d})
 		}
 	})
 }
@@ -74,15 +74,15 @@
 	return most
 }
 
-// noteCap keeps what the cap allowed when a start was ordered. An owner that was replaced
+// recordCap keeps what the cap allowed when a start was ordered. An owner that was replaced
 // goes on for ownerAuthority where it is cut off: the next one has kept room for that below
 // the cap of the time when it took over.
-func (w *world) noteCap(o *worldOwner, a StartRun) {
-	within := configShows
+func (w *world) recordCap(o *worldOwner, a StartRun) {
+	within := configDelay
 	if o.fence != w.store.fence {
 		within += ownerAuthority
 	}
-	w.limitOrdered[strayID{task: a.Order.Task, number: a.Order.Run}] = w.allowed(within)
+	w.limitOrdered[rawRunID{task: a.Order.Task, number: a.Order.Run}] = w.allowed(within)
 }
 
 // checkCap checks that a team has no more running than its cap once the run has begun. An
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	if most := max(w.allowed(configShows), w.limitOrdered[strayID{task: o.Task, number: o.Run}]); used > most {
+	if most := max(w.allowed(configDelay), w.limitOrdered[rawRunID{task: o.Task, number: o.Run}]); used > most {
 		var beside strings.Builder
 		for _, r := range running {
 			fmt.Fprintf(&beside, "%s run %d since %s takes %d\n", r.task, r.number, r.began.Format("05.000"), r.step.MilliCores)
@@ -125,17 +125,17 @@
 			"submit": func(*rapid.T) { w.submit() },
 			"more":   func(*rapid.T) { w.submit() },
 			"pass": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 20).Draw(t, "tenths")) * 100 * time.Millisecond)
+				w.advance(time.Duration(rapid.IntRange(1, 20).Draw(t, "tenths")) * 100 * time.Millisecond)
 			},
 			"cap":     func(*rapid.T) { w.changeCap() },
 			"lossy":   func(t *rapid.T) { w.lossy = rapid.Bool().Draw(t, "lossy") },
 			"cancel":  func(*rapid.T) { w.cancelSome() },
-			"cut":     func(*rapid.T) { v := w.some(); v.cut = !v.cut },
+			"cut":     func(*rapid.T) { v := w.pickWorker(); v.partitioned = !v.partitioned },
 			"crash":   func(*rapid.T) { w.crash() },
-			"kill":    func(*rapid.T) { w.succeed(func(o *worldOwner) { o.dead = true }) },
-			"freeze":  func(*rapid.T) { w.succeed(w.freeze) },
+			"kill":    func(*rapid.T) { w.replaceOwner(func(o *worldOwner) { o.dead = true }) },
+			"freeze":  func(*rapid.T) { w.replaceOwner(w.freeze) },
 			"split":   func(*rapid.T) { w.split() },
-			"abandon": func(*rapid.T) { w.abandon() },
+			"abandon": func(*rapid.T) { w.deposeOwner() },
 		})
 		w.heal()
 		require.Empty(t, w.store.records, "jobs that never end")
--- a/job/world_test.go
+++ b/job/world_test.go
@@ -17,14 +17,14 @@
 // leases, and messages that are slow, lost or carried out late. It keeps the
 // books that show whether a promise was broken.
 type world struct {
-	t       *rapid.T
-	now     time.Time
-	events  []delivery
-	store   worldStore
-	workers map[platform.WorkerID]*worldWorker
-	owners  []*worldOwner
-	lives   int
-	jobs    map[ID]Record
+	t            *rapid.T
+	now          time.Time
+	events       []delivery
+	store        worldStore
+	workers      map[platform.WorkerID]*worldWorker
+	owners       []*worldOwner
+	incarnations int
+	jobs         map[ID]Record
 	// doneRuns are the good ends of each task.
 	doneRuns map[string][]*worldEnd
 	failures map[string]int
@@ -39,7 +39,7 @@
 	worldLinks
 	worldCrashes
 	worldTeams
-	worldAgain
+	worldRestarts
 	worldLasting
 }
 
@@ -51,17 +51,17 @@
 type worldStore struct {
 	revision platform.Revision
 	fence    platform.Fence
-	records  map[ID]Accepted
+	records  map[ID]JobAccepted
 	progress map[ID]Progress
 	cancels  map[ID]bool
-	own      ownStore
+	own      ownerStore
 }
 
 type worldEnd struct {
 	row platform.EndedRow
 	at  *worldWorker
-	// noted says that the worker was told that it may forget the end.
-	noted bool
+	// acknowledged says that the worker was told that it may forget the end.
+	acknowledged bool
 	// lapsed says that the worker's lease was over before the end was noted:
 	// such an end does not count.
 	lapsed bool
@@ -75,31 +75,31 @@
 	how    platform.End
 	step   platform.Step
 	// atWorkAt is when a lasting run is at work, and takes how long it needs from its start.
-	atWorkAt time.Time
-	takes    time.Duration
+	atWorkAt  time.Time
+	warmUpFor time.Duration
 }
 
 type worldWorker struct {
 	platform.Worker
-	alive bool
-	cut   bool
-	// down says that it has not started yet.
-	down bool
+	alive       bool
+	partitioned bool
+	// notStarted says that it has not started yet.
+	notStarted bool
 	// unlisted says that the store has no record of it.
 	unlisted bool
-	// hidden are the owners that cannot reach it.
-	hidden  map[*worldOwner]bool
-	born    time.Time
-	slow    float64
-	fence   platform.Fence
-	until   platform.WorkerClock
-	runs    map[string]*worldRun
-	highest map[string]int64
-	ended   []*worldEnd
-	number  int64
-	// before is what it had until lately, which still counts until then.
-	before     int64
-	countsTill time.Time
+	// unreachableBy are the owners that cannot reach it.
+	unreachableBy map[*worldOwner]bool
+	born          time.Time
+	clockRate     float64
+	fence         platform.Fence
+	until         platform.WorkerClock
+	runs          map[string]*worldRun
+	highestRun    map[string]int64
+	ended         []*worldEnd
+	number        int64
+	// previousCores is what it had until lately, which still counts until then.
+	previousCores int64
+	previousUntil time.Time
 }
 
 type worldOwner struct {
@@ -113,7 +113,7 @@
 
 func (r *worldRun) percent(now time.Time) int {
 	if r.step.Lasting {
-		return r.warmth(now)
+		return r.warmUpPercent(now)
 	}
 	return int(min(99, 100*now.Sub(r.began)/max(1, r.endsAt.Sub(r.began))))
 }
@@ -126,10 +126,10 @@
 func newWorldOf(t *rapid.T, tellsStarts bool) *world {
 	w := &world{
 		t: t, now: time.Unix(1e9, 0), workers: map[platform.WorkerID]*worldWorker{}, jobs: map[ID]Record{},
-		doneRuns: map[string][]*worldEnd{}, restarted: map[string][]*worldEnd{}, failures: map[string]int{}, worldCancels: newWorldCancels(), worldLinks: newWorldLinks(), worldCrashes: newWorldCrashes(), worldTeams: newWorldTeams(), worldAgain: newWorldAgain(), worldLasting: newWorldLasting(),
+		doneRuns: map[string][]*worldEnd{}, restarted: map[string][]*worldEnd{}, failures: map[string]int{}, worldCancels: newWorldCancels(), worldLinks: newWorldLinks(), worldCrashes: newWorldCrashes(), worldTeams: newWorldTeams(), worldRestarts: newWorldRestarts(), worldLasting: newWorldLasting(),
 	}
-	w.tellsStarts = tellsStarts
-	w.store = worldStore{revision: 10, records: map[ID]Accepted{}, progress: map[ID]Progress{}, cancels: map[ID]bool{}, own: ownStore{}}
+	w.tellsIncarnation = tellsStarts
+	w.store = worldStore{revision: 10, records: map[ID]JobAccepted{}, progress: map[ID]Progress{}, cancels: map[ID]bool{}, own: ownerStore{}}
 	for i := range 3 {
 		w.addWorker(fmt.Sprint("host-", i))
 		w.hosts = i
@@ -139,21 +139,21 @@
 }
 
 func (w *world) addWorker(host string) {
-	w.lives++
-	w.addLife(host, w.nextID(platform.WorkerName(fmt.Sprint("w-", w.lives))))
-	w.tellRecord(w.order[len(w.order)-1])
+	w.incarnations++
+	w.addIncarnation(host, w.nextID(platform.WorkerName(fmt.Sprint("w-", w.incarnations))))
+	w.writeRecord(w.workersByStart[len(w.workersByStart)-1])
 }
 
-// addLife adds a worker that no owner has heard of yet.
-func (w *world) addLife(host string, id platform.WorkerID) *worldWorker {
-	v := &worldWorker{alive: true, born: w.now, slow: []float64{1, 0.98}[w.lives%2], runs: map[string]*worldRun{}, highest: map[string]int64{}, hidden: map[*worldOwner]bool{}}
+// addIncarnation adds a worker that no owner has heard of yet.
+func (w *world) addIncarnation(host string, id platform.WorkerID) *worldWorker {
+	v := &worldWorker{alive: true, born: w.now, clockRate: []float64{1, 0.98}[w.incarnations%2], runs: map[string]*worldRun{}, highestRun: map[string]int64{}, unreachableBy: map[*worldOwner]bool{}}
 	v.Worker = platform.Worker{
 		ID: id, Service: "blue", Host: host, Address: netip.MustParseAddrPort("10.0.0.1:80"),
-		Capacity: platform.Resources{MilliCores: wholeWorker, MemoryMB: 4000},
+		Capacity: platform.Resources{MilliCores: fullWorkerCores, MemoryMB: 4000},
 	}
 	w.workers[id] = v
-	w.order = append(w.order, v)
-	w.latest[id.Name()] = v
+	w.workersByStart = append(w.workersByStart, v)
+	w.latestByName[id.Name()] = v
 	return v
 }
 
@@ -162,9 +162,9 @@
 	w.tenures++
 	w.store.revision++
 	w.store.fence = platform.Fence(w.store.revision)
-	o := &worldOwner{fence: w.store.fence, core: New(w.store.fence, "entry", Size{}, w.now), renewedAt: w.now}
+	o := &worldOwner{fence: w.store.fence, core: NewCore(w.store.fence, "entry", Size{}, w.now), renewedAt: w.now}
 	w.owners = append(w.owners, o)
-	w.listedAt(o)
+	w.noteListed(o)
 	r := w.store.own.roster()
 	e := Inherited{Config: w.config(), Progress: map[ID]Progress{}, Roster: r}
 	for _, a := range w.store.records {
@@ -175,7 +175,7 @@
 	}
 	for id := range w.store.cancels {
 		e.Cancels = append(e.Cancels, id)
-		w.learn(id)
+		w.noteCancelKnown(id)
 	}
 	for _, v := range w.workers {
 		if v.alive && !v.unlisted {
@@ -203,22 +203,22 @@
 	w.events = append(w.events, delivery{at: w.now.Add(d), f: f})
 }
 
-// pass lets time pass.
-func (w *world) pass(d time.Duration) {
+// advance lets time pass.
+func (w *world) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(10 * time.Millisecond)
 		w.deliver()
 		for _, v := range w.workers {
-			w.live(v)
+			w.endDueRuns(v)
 		}
 		w.checkCancelled()
-		w.watchLasting()
+		w.trackLasting()
 		w.renew()
 		if w.now.UnixMilli()%50 == 0 {
 			for _, o := range w.owners {
-				if o.fence == w.store.fence && w.carries == 0 {
+				if o.fence == w.store.fence && w.linkRate == 0 {
 					o.renewedAt = w.now
-					w.tell(o, Renewed{SentAt: w.now})
+					w.tell(o, LeaseRenewed{SentAt: w.now})
 				}
 				w.tell(o, Tick{})
 			}
@@ -240,11 +240,11 @@
 	}
 }
 
-// fate draws what becomes of a message: its way there, its way back, and
+// drawDelivery draws what becomes of a message: its way there, its way back, and
 // whether the answer is lost.
-func (w *world) fate(o *worldOwner, v *worldWorker) (there, back time.Duration, lost bool) {
-	there = time.Duration((1+w.lives%3)*w.slowBy) * time.Millisecond
-	if v.cut || !v.alive || v.down || v.hidden[o] {
+func (w *world) drawDelivery(o *worldOwner, v *worldWorker) (there, back time.Duration, lost bool) {
+	there = time.Duration((1+w.incarnations%3)*w.slowBy) * time.Millisecond
+	if v.partitioned || !v.alive || v.notStarted || v.unreachableBy[o] {
 		return there, 0, true
 	}
 	if w.lossy && rapid.IntRange(0, 5).Draw(w.t, "lost") == 0 {
@@ -253,7 +253,7 @@
 		}
 		return there, 0, true
 	}
-	if d := w.carriedOutLate(); d > 0 {
+	if d := w.drawStuck(); d > 0 {
 		return d, 0, true
 	}
 	return there, there, false
@@ -261,35 +261,35 @@
 
 func (w *world) perform(o *worldOwner, a Action) {
 	switch a := a.(type) {
-	case Note:
+	case LogLine:
 		w.keepNote(o, a)
 	case StepDown:
 		w.steppedDown(o)
 	case WakeAt:
 		w.after(a.At.Sub(w.now), func() { w.tell(o, Woken{}) })
-	case Keep:
-		w.after(time.Duration(5*w.slowBy)*time.Millisecond+w.holdUp(o, keepBytes), func() { w.keep(o, a) })
-	case LookAt:
-		w.send(o, a.Worker.ID, a, lookSlack+a.Order.Wait, func(v *worldWorker, _ bool, answer func(Event)) { w.answerLook(v, a, answer) },
-			func(err error) Event { return Looked{Worker: a.Worker.ID, SentAt: w.now, Err: err} })
+	case WriteStore:
+		w.after(time.Duration(5*w.slowBy)*time.Millisecond+w.linkDelay(o, writeBytes), func() { w.writeStore(o, a) })
+	case PollWorker:
+		w.send(o, a.Worker.ID, a, pollSlack+a.Order.Wait, func(v *worldWorker, _ bool, answer func(Event)) { w.answerPoll(v, a, answer) },
+			func(err error) Event { return PollResult{Worker: a.Worker.ID, SentAt: w.now, Err: err} })
 	case StartRun:
 		w.checkStart(o, a)
 		w.noteOrder(a)
-		w.noteCap(o, a)
+		w.recordCap(o, a)
 		w.send(o, a.Worker.ID, a, orderTimeout, func(v *worldWorker, _ bool, answer func(Event)) { answer(w.start(v, a)) },
 			func(err error) Event {
-				return Started{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Err: err}
+				return StartResult{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Err: err}
 			})
 	case StopRun:
 		w.send(o, a.Worker.ID, a, orderTimeout, func(v *worldWorker, late bool, answer func(Event)) { answer(w.stop(v, a, late)) },
-			func(err error) Event { return Stopped{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Err: err} })
+			func(err error) Event { return StopResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Err: err} })
 	case ListMachines:
 		w.after(5*time.Millisecond, func() { w.tell(o, w.listMachines()) })
 	case MoveMachine:
-		w.after(5*time.Millisecond, func() { w.tell(o, MachineOrdered{Machine: a.Machine, Verdict: platform.OrderBusy}) })
+		w.after(5*time.Millisecond, func() { w.tell(o, MachineOrderResult{Machine: a.Machine, Verdict: platform.OrderBusy}) })
 	case MaintainMachine:
 		if w.now.Sub(o.renewedAt) > ownerTTL {
-			w.after(0, func() { w.tell(o, MachineOrdered{Machine: a.Machine, Err: errLeaseDoubtful}) })
+			w.after(0, func() { w.tell(o, MachineOrderResult{Machine: a.Machine, Err: errLeaseNotRenewed}) })
 			return
 		}
 		w.after(5*time.Millisecond, func() { w.tell(o, w.maintain(a)) })
@@ -300,25 +300,25 @@
 // answer later; nil is no answer.
 func (w *world) send(o *worldOwner, id platform.WorkerID, a Action, timeout time.Duration, do func(v *worldWorker, late bool, answer func(Event)), failed func(error) Event) {
 	v := w.workers[id]
-	there, back, lost := w.fate(o, v)
+	there, back, lost := w.drawDelivery(o, v)
 	sent, answer := w.bytesOf(id, a)
-	there += w.holdUp(o, sent)
+	there += w.linkDelay(o, sent)
 	givesUp := w.now.Add(timeout)
 	unanswered := func() { w.tell(o, failed(common.ErrUnknown)) }
 	w.after(there, func() {
-		v := w.reached(v, a)
-		if (!v.alive || v.down) && !lost {
+		v := w.recipient(v, a)
+		if (!v.alive || v.notStarted) && !lost {
 			// It ended while the order was under way.
 			w.after(timeout, unanswered)
 		}
-		if !v.alive || v.down || ((v.cut || v.hidden[o]) && lost) {
+		if !v.alive || v.notStarted || ((v.partitioned || v.unreachableBy[o]) && lost) {
 			return
 		}
 		do(v, there > timeout, func(e Event) {
 			if lost {
 				return
 			}
-			back := back + w.holdUp(o, answer)
+			back := back + w.linkDelay(o, answer)
 			if e == nil || w.now.Add(back).After(givesUp) {
 				w.after(max(0, givesUp.Sub(w.now)), unanswered)
 				return
@@ -331,7 +331,7 @@
 	}
 }
 
-func (w *world) keep(o *worldOwner, a Keep) {
+func (w *world) writeStore(o *worldOwner, a WriteStore) {
 	if o.fence != w.store.fence {
 		o.dead = true
 		return
@@ -352,16 +352,16 @@
 			w.checkFinal(id, g.State)
 		}
 	}
-	w.deleted(a.Deletes)
-	w.tell(o, Kept{Number: a.Number, At: w.store.revision})
+	w.deleteKeys(a.Deletes)
+	w.tell(o, WriteResult{Number: a.Number, Revision: w.store.revision})
 }
 
 func (v *worldWorker) clock(now time.Time) platform.WorkerClock {
-	return platform.WorkerClock(float64(now.Sub(v.born).Milliseconds()) * v.slow)
+	return platform.WorkerClock(float64(now.Sub(v.born).Milliseconds()) * v.clockRate)
 }
 
-// live ends what is over on a worker.
-func (w *world) live(v *worldWorker) {
+// endDueRuns ends what is over on a worker.
+func (w *world) endDueRuns(v *worldWorker) {
 	if !v.alive {
 		return
 	}
@@ -374,7 +374,7 @@
 		how := r.how
 		switch {
 		case v.until > 0 && v.clock(w.now) > v.until:
-			how = platform.EndLapsed
+			how = platform.EndExpired
 			w.lapsed++
 		case w.now.Before(r.endsAt) || (r.step.Lasting && r.how == platform.EndDone):
 			continue
@@ -393,9 +393,9 @@
 	}
 }
 
-func (w *world) look(v *worldWorker, a LookAt) Event {
-	out := Looked{Worker: a.Worker.ID, SentAt: w.now, Acked: a.Order.LastSeen, Look: platform.Look{Clock: v.clock(w.now)}}
-	out.Look.Incarnation = v.ID.Incarnation()
+func (w *world) poll(v *worldWorker, a PollWorker) Event {
+	out := PollResult{Worker: a.Worker.ID, SentAt: w.now, Acked: a.Order.LastSeen, Poll: platform.PollReply{Clock: v.clock(w.now)}}
+	out.Poll.Incarnation = v.ID.Incarnation()
 	if a.Order.Fence < v.fence {
 		out.Rejection = platform.RejectedFence
 		return out
@@ -408,46 +408,46 @@
 		if e.row.Number > a.Order.LastSeen {
 			return false
 		}
-		w.noted(e)
+		w.acknowledge(e)
 		return true
 	})
 	for _, r := range v.runs {
-		out.Look.Running = append(out.Look.Running, platform.RunningRow{Task: r.task, Run: r.number, Percent: r.percent(w.now)})
+		out.Poll.Running = append(out.Poll.Running, platform.RunningRow{Task: r.task, Run: r.number, Percent: r.percent(w.now)})
 	}
 	for _, e := range v.ended {
-		out.Look.Ended = append(out.Look.Ended, e.row)
+		out.Poll.Ended = append(out.Poll.Ended, e.row)
 	}
 	return out
 }
 
 func (w *world) start(v *worldWorker, a StartRun) Event {
 	o := a.Order
-	out := Started{Worker: a.Worker.ID, Run: o.Run, Task: o.Task, Clock: v.clock(w.now)}
+	out := StartResult{Worker: a.Worker.ID, Run: o.Run, Task: o.Task, Clock: v.clock(w.now)}
 	switch {
 	case o.Fence < v.fence:
 		out.Rejection = platform.RejectedFence
 	case v.runs[o.Task] != nil && v.runs[o.Task].number == o.Run:
-	case o.Run <= v.highest[o.Task]:
+	case o.Run <= v.highestRun[o.Task]:
 		out.Rejection = platform.RejectedOld
 	case o.Until <= v.clock(w.now):
 		out.Rejection = platform.RejectedLate
 	default:
 		v.fence = o.Fence
 		v.until = max(v.until, o.Until)
-		v.highest[o.Task] = o.Run
+		v.highestRun[o.Task] = o.Run
 		w.begin(v, o)
 	}
 	return out
 }
 
 func (w *world) stop(v *worldWorker, a StopRun, late bool) Event {
-	out := Stopped{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Clock: v.clock(w.now)}
+	out := StopResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Clock: v.clock(w.now)}
 	if a.Fence < v.fence {
 		out.Rejection = platform.RejectedFence
 		return out
 	}
 	v.fence = a.Fence
-	v.highest[a.Task] = max(v.highest[a.Task], a.Run)
+	v.highestRun[a.Task] = max(v.highestRun[a.Task], a.Run)
 	if r := v.runs[a.Task]; r != nil && r.number == a.Run && r.how != platform.EndStopped {
 		w.endedByOrder(v, r, late)
 		r.how = platform.EndStopped
--- a/request/admission.go
+++ b/request/admission.go
@@ -14,52 +14,52 @@
 		return &Refusal{Reason: ReasonUnknown}
 	}
 	p := s.pool(v.Pool)
-	if s.slots(p, v) == 0 {
-		return &Refusal{Reason: ReasonNoTarget, RetryAt: now.Add(noTargetRetry)}
+	if s.serviceSlots(p, v) == 0 {
+		return &Refusal{Reason: ReasonNoTarget, RetryAt: now.Add(noTargetRetryDelay)}
 	}
 	run := &s.job(i.key()).run
-	i.estimate = max(run.value, leastRun)
+	i.estimate = max(run.value, minRunEstimate)
 	q := v.queues[i.Class]
-	wait := s.wait(p, v, i.Class)
-	if now.Add(wait + run.most()).After(i.Deadline) {
+	wait := s.estimateWait(p, v, i.Class)
+	if now.Add(wait + run.upperBound()).After(i.Deadline) {
 		return &Refusal{Reason: ReasonLate, RetryAt: now.Add(wait)}
 	}
-	if q.heap.Len() >= s.policy.Queue {
+	if q.heap.Len() >= s.policy.QueueLimit {
 		return &Refusal{Reason: ReasonFull, RetryAt: now.Add(wait)}
 	}
 	if v.idle() {
-		v.virtual = max(v.virtual, p.leastVirtual(v))
+		v.virtualTime = max(v.virtualTime, p.minVirtualTime(v))
 	}
-	p.enter(i.Class)
+	p.addWaiting(i.Class)
 	i.queue = q
 	i.pool = p
-	i.slot = q.heap.Push(i)
+	i.heapEntry = q.heap.Push(i)
 	q.work += i.estimate
 	return nil
 }
 
-// leastRun is what a run counts as at the least, so that jobs whose time is not
+// minRunEstimate is what a run counts as at the least, so that jobs whose time is not
 // known yet count at all.
-const leastRun = time.Millisecond
+const minRunEstimate = time.Millisecond
 
-// noTargetRetry is when to come back to a pool without any target.
-const noTargetRetry = 2 * time.Second
+// noTargetRetryDelay is when to come back to a pool without any target.
+const noTargetRetryDelay = 2 * time.Second
 
-// enter counts one more waiting request. A class of which none waited has no
+// addWaiting counts one more waiting request. A class of which none waited has no
 // claim on the past.
-func (p *pool) enter(c common.Class) {
+func (p *pool) addWaiting(c common.Class) {
 	o := 1 - c
 	if p.waiting[c] == 0 && p.waiting[o] > 0 {
-		p.virtual[c] = max(p.virtual[c], p.virtual[o])
+		p.virtualTime[c] = max(p.virtualTime[c], p.virtualTime[o])
 	}
 	p.waiting[c]++
 }
 
-// wait estimates how long a new request of the service and class waits: the
+// estimateWait estimates how long a new request of the service and class waits: the
 // work queued before it, over the slots that it may count on.
-func (s *Scheduler) wait(p *pool, v *service, c common.Class) time.Duration {
+func (s *Scheduler) estimateWait(p *pool, v *service, c common.Class) time.Duration {
 	work := v.queues[c].work
-	slots := min(s.slotsFor(p, c), float64(s.slots(p, v)))
+	slots := min(s.classSlots(p, c), float64(s.serviceSlots(p, v)))
 	weight := 0
 	for _, o := range p.services {
 		if o == v || !o.idle() {
@@ -70,8 +70,8 @@
 	return time.Duration(float64(work) / max(slots, 1))
 }
 
-// slots returns the slots of the targets that hold the service.
-func (s *Scheduler) slots(p *pool, v *service) int {
+// serviceSlots returns the slots of the targets that hold the service.
+func (s *Scheduler) serviceSlots(p *pool, v *service) int {
 	if !v.Placed {
 		return p.slots
 	}
@@ -84,10 +84,10 @@
 	return n
 }
 
-// slotsFor returns the slots of the pool that a class may count on: quick
+// classSlots returns the slots of the pool that a class may count on: quick
 // requests have all but the share of patient ones that wait, and patient ones
 // what quick requests leave, but no less than their share.
-func (s *Scheduler) slotsFor(p *pool, c common.Class) float64 {
+func (s *Scheduler) classSlots(p *pool, c common.Class) float64 {
 	all := float64(p.slots)
 	if c == common.Patient {
 		return max(all-float64(p.busy[common.Quick]), all*s.policy.PatientShare)
@@ -102,16 +102,16 @@
 	return v.queues[common.Quick].heap.Len()+v.queues[common.Patient].heap.Len() == 0
 }
 
-// leastVirtual returns the least virtual time of the other services that have
+// minVirtualTime returns the least virtual time of the other services that have
 // work waiting, so that one that was idle has no claim on the past.
-func (p *pool) leastVirtual(but *service) float64 {
+func (p *pool) minVirtualTime(but *service) float64 {
 	least := -1.0
 	for _, v := range p.services {
 		if v == but || v.idle() {
 			continue
 		}
-		if least < 0 || v.virtual < least {
-			least = v.virtual
+		if least < 0 || v.virtualTime < least {
+			least = v.virtualTime
 		}
 	}
 	return max(least, 0)
@@ -120,7 +120,7 @@
 // Cancel takes a waiting item out of its queue. It reports whether it was
 // there: an item that runs already is ended by Done.
 func (s *Scheduler) Cancel(i *Item) bool {
-	if i.queue == nil || !i.queue.heap.Remove(i.slot) {
+	if i.queue == nil || !i.queue.heap.Remove(i.heapEntry) {
 		return false
 	}
 	i.queue.work -= i.estimate
@@ -129,7 +129,7 @@
 	return true
 }
 
-// GiveUpAt returns when a waiting item cannot be in time any more.
-func (s *Scheduler) GiveUpAt(i *Item) time.Time {
-	return i.Deadline.Add(-s.job(i.key()).run.most())
+// LatestStart returns when a waiting item cannot be in time any more.
+func (s *Scheduler) LatestStart(i *Item) time.Time {
+	return i.Deadline.Add(-s.job(i.key()).run.upperBound())
 }
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -21,53 +21,53 @@
 	common.Usage
 	conns  *common.Connections
 	cancel context.CancelFunc
-	// on tells of the connection, nil before there is one.
-	on atomic.Pointer[connected]
+	// conn tells of the connection, nil before there is one.
+	conn atomic.Pointer[connInfo]
 	// phase settles once whether the request is written or given up.
 	phase atomic.Int32
-	// over closes once reply or err is there.
-	over  chan struct{}
+	// done closes once reply or err is there.
+	done  chan struct{}
 	reply *Reply
 	err   error
 }
 
-// connected is how a request got its connection.
-type connected struct {
+// connInfo is how a request got its connection.
+type connInfo struct {
 	at time.Time
-	// kept says that the connection has served earlier requests.
-	kept bool
+	// reused says that the connection has served earlier requests.
+	reused bool
 }
 
 func newAttempt(o *common.Connections, cancel context.CancelFunc) *attempt {
-	return &attempt{conns: o, cancel: cancel, over: make(chan struct{})}
+	return &attempt{conns: o, cancel: cancel, done: make(chan struct{})}
 }
 
 // Phases of an attempt.
 const (
-	phaseWaiting int32 = iota
+	phasePending int32 = iota
 	phaseWriting
-	phaseGivenUp
+	phaseAbandoned
 )
 
 // trace notes when the request has a connection.
 func (t *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		t.conns.Begin(&t.Usage, i.Conn, nil)
-		t.on.Store(&connected{at: time.Now(), kept: i.Reused})
+		t.conn.Store(&connInfo{at: time.Now(), reused: i.Reused})
 	}}
 }
 
 // sent reports whether the target may have got some of the request.
 func (t *attempt) sent() bool {
-	return t.on.Load() != nil
+	return t.conn.Load() != nil
 }
 
-// doubt notes that the caller's time has ended without an answer. Only that tells
+// distrustConn notes that the caller's time has ended without an answer. Only that tells
 // silence from work; the request is not sent a second time for it, but those after it do
 // not meet another connection that has brought nothing since this one was sent.
-func (t *attempt) doubt(ctx context.Context) {
-	c := t.on.Load()
-	if c != nil && c.kept && errors.Is(ctx.Err(), context.DeadlineExceeded) {
+func (t *attempt) distrustConn(ctx context.Context) {
+	c := t.conn.Load()
+	if c != nil && c.reused && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		t.conns.Distrust(&t.Usage, c.at, true)
 	}
 }
@@ -78,61 +78,61 @@
 	t.cancel()
 }
 
-// write reports whether the request may be written.
-func (t *attempt) write() bool {
-	return t.phase.CompareAndSwap(phaseWaiting, phaseWriting) || t.phase.Load() == phaseWriting
+// startWriting reports whether the request may be written.
+func (t *attempt) startWriting() bool {
+	return t.phase.CompareAndSwap(phasePending, phaseWriting) || t.phase.Load() == phaseWriting
 }
 
-// giveUp reports whether the request will not be written: a target gets no more
+// abandon reports whether the request will not be written: a target gets no more
 // than its headers, and does not run it.
-func (t *attempt) giveUp() bool {
-	return t.phase.CompareAndSwap(phaseWaiting, phaseGivenUp) || t.phase.Load() == phaseGivenUp
+func (t *attempt) abandon() bool {
+	return t.phase.CompareAndSwap(phasePending, phaseAbandoned) || t.phase.Load() == phaseAbandoned
 }
 
-// errGivenUp ends the writing of a request whose caller has gone.
-var errGivenUp = merry.New("given up before it was written")
+// errAbandoned ends the writing of a request whose caller has gone.
+var errAbandoned = merry.New("given up before it was written")
 
-// body is the body of a request. net/http writes a request to a connection that
+// requestBody is the body of a request. net/http writes a request to a connection that
 // comes at the very end of its context, so that the body asks whether it may.
-type body struct {
+type requestBody struct {
 	*bytes.Reader
 	attempt *attempt
 }
 
 // Read is part of io.Reader.
-func (b body) Read(p []byte) (int, error) {
-	if !b.attempt.write() {
-		return 0, errGivenUp
+func (b requestBody) Read(p []byte) (int, error) {
+	if !b.attempt.startWriting() {
+		return 0, errAbandoned
 	}
 	return b.Reader.Read(p)
 }
 
 // Close is part of io.Closer.
-func (b body) Close() error {
+func (b requestBody) Close() error {
 	return nil
 }
 
-// bodyOf returns a new reader of the request's body. One without any is written
+// newBody returns a new reader of the request's body. One without any is written
 // with its headers, and so counts as written.
-func (t *attempt) bodyOf(b []byte) io.ReadCloser {
+func (t *attempt) newBody(b []byte) io.ReadCloser {
 	if len(b) == 0 {
-		t.write()
+		t.startWriting()
 		return http.NoBody
 	}
-	return body{Reader: bytes.NewReader(b), attempt: t}
+	return requestBody{Reader: bytes.NewReader(b), attempt: t}
 }
 
-// run sends the request and reads the start of the answer.
-func (t *attempt) run(r http.RoundTripper, req *http.Request, id string) {
-	defer close(t.over)
+// send sends the request and reads the start of the answer.
+func (t *attempt) send(r http.RoundTripper, req *http.Request, id string) {
+	defer close(t.done)
 	res, err := r.RoundTrip(req)
 	if err != nil {
 		t.err = &AttemptError{Sent: t.sent(), Cause: err}
 		return
 	}
-	t.reply, err = readHead(res)
+	t.reply, err = bufferAnswer(res)
 	if err == nil {
-		err = crossed(res, id)
+		err = checkAnswerID(res, id)
 	}
 	if err != nil {
 		_ = res.Body.Close()
@@ -140,17 +140,17 @@
 	}
 }
 
-// crossed returns an error for an answer to another request.
-func crossed(res *http.Response, id string) error {
+// checkAnswerID returns an error for an answer to another request.
+func checkAnswerID(res *http.Response, id string) error {
 	if got := res.Header.Get(common.HeaderID); got != "" && got != id {
 		return merry.Errorf("answer is for request %s", got)
 	}
 	return nil
 }
 
-// outcome returns what the attempt came to. What is left of a long answer is cut
+// result returns what the attempt came to. What is left of a long answer is cut
 // off at the end of the caller's context.
-func (t *attempt) outcome(ctx context.Context) (*Reply, error) {
+func (t *attempt) result(ctx context.Context) (*Reply, error) {
 	if t.err != nil {
 		t.release()
 		return nil, t.err
@@ -160,23 +160,23 @@
 		return t.reply, nil
 	}
 	stop := context.AfterFunc(ctx, t.cancel)
-	t.reply.Rest = &rest{ReadCloser: t.reply.Rest, done: func() { stop(); t.release() }}
+	t.reply.Rest = &restReader{ReadCloser: t.reply.Rest, done: func() { stop(); t.release() }}
 	return t.reply, nil
 }
 
-// leave lets the attempt run on without its caller. The error says when it is
+// detach lets the attempt run on without its caller. The error says when it is
 // over.
-func (t *attempt) leave(ctx context.Context) error {
+func (t *attempt) detach(ctx context.Context) error {
 	over := make(chan struct{})
-	end := time.AfterFunc(runOut, t.cancel)
+	end := time.AfterFunc(detachedRunTimeout, t.cancel)
 	go func() {
 		defer close(over)
-		<-t.over
+		<-t.done
 		t.discard()
 		end.Stop()
 		t.release()
 	}()
-	return &AttemptError{Sent: true, Cause: context.Cause(ctx), Over: over}
+	return &AttemptError{Sent: true, Cause: context.Cause(ctx), Done: over}
 }
 
 // discard reads what is left of an answer that nobody waits for.
@@ -188,14 +188,14 @@
 	_ = t.reply.Rest.Close()
 }
 
-// rest is what is left of an answer. It ends the attempt when it is closed.
-type rest struct {
+// restReader is what is left of an answer. It ends the attempt when it is closed.
+type restReader struct {
 	io.ReadCloser
 	done func()
 }
 
 // Close ends the attempt.
-func (r *rest) Close() error {
+func (r *restReader) Close() error {
 	defer r.done()
 	return r.ReadCloser.Close()
 }
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -82,7 +82,7 @@
 // with its share of the platform's writes, and by one swap for each request
 // with the same share.
 func BenchmarkClaims(b *testing.B) {
-	per := rate.Limit(float64(claimWrites) / claimShards)
+	per := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
 	b.Run("gathered", func(b *testing.B) {
 		m := &slowStore{Memory: standin.NewMemory()}
 		s := newShard(claimStore{m, 0}, per, time.Now, common.Quiet().Log("bench"), func() {})
@@ -175,14 +175,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return NewServer(common.Quiet(), Parts{
-		Config:     func() *config.Snapshot { return &config.Snapshot{Document: doc} },
-		Dispatcher: NewDispatcher(s, time.Now),
-		Runner:     NewForwarder(64),
-		Issuer:     NewIssuer("bench", 1),
-		Hosts:      fixedHost(target),
-		Metrics:    m,
-		Pulse:      common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
+	return NewServer(common.Quiet(), ServerOptions{
+		Config:        func() *config.Snapshot { return &config.Snapshot{Document: doc} },
+		Dispatcher:    NewDispatcher(s, time.Now),
+		Runner:        NewForwarder(64),
+		Issuer:        NewIssuer("bench", 1),
+		Hosts:         fixedHost(target),
+		Metrics:       m,
+		PauseDetector: common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
 	})
 }
 
--- a/request/callerconn.go
+++ b/request/callerconn.go
@@ -17,12 +17,12 @@
 	conns *callerConns
 	mu    sync.Mutex
 	// idle says that nothing of a next request has been read, since when.
-	idle  bool
-	since time.Time
-	// promised is until when the caller has been told that it may use the idle connection.
-	promised time.Time
-	// released asks the reader to end the connection unless a request has come.
-	released bool
+	idle      bool
+	idleSince time.Time
+	// keepUntil is until when the caller has been told that it may use the idle connection.
+	keepUntil time.Time
+	// closing asks the reader to end the connection unless a request has come.
+	closing bool
 }
 
 // Read reads. Where the time to wait for a request is over, it looks once more for one.
@@ -30,16 +30,16 @@
 	n, err := k.TCPConn.Read(b)
 	late := n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && k.isIdle()
 	if late {
-		n, err = k.lastRead(b)
+		n, err = k.readOrShutdown(b)
 	}
 	if n > 0 {
-		k.begin(late)
+		k.markBusy(late)
 	}
 	return n, err
 }
 
-// lastRead returns what has come, or shuts the connection down in the next system call.
-func (k *callerConn) lastRead(b []byte) (n int, err error) {
+// readOrShutdown returns what has come, or shuts the connection down in the next system call.
+func (k *callerConn) readOrShutdown(b []byte) (n int, err error) {
 	r, err := k.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -64,7 +64,7 @@
 func (k *callerConn) SetReadDeadline(t time.Time) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.released {
+	if k.closing {
 		return nil
 	}
 	return k.TCPConn.SetReadDeadline(t)
@@ -82,51 +82,51 @@
 	return k.idle
 }
 
-// rest notes that the connection waits for its next request, which its caller may send
+// markIdle notes that the connection waits for its next request, which its caller may send
 // within a time.
-func (k *callerConn) rest(keep time.Duration) {
+func (k *callerConn) markIdle(keep time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.idle, k.since = true, time.Now()
-	k.promised = k.since.Add(keep)
+	k.idle, k.idleSince = true, time.Now()
+	k.keepUntil = k.idleSince.Add(keep)
 }
 
-// begin notes that a request has begun. One that came late, or on a connection that was
+// markBusy notes that a request has begun. One that came late, or on a connection that was
 // to end, has as much time for its headers as any other.
-func (k *callerConn) begin(late bool) {
+func (k *callerConn) markBusy(late bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.idle = false
-	if k.released {
-		k.conns.late.Add(1)
+	if k.closing {
+		k.conns.servedLate.Add(1)
 	}
-	if late || k.released {
-		k.released = false
+	if late || k.closing {
+		k.closing = false
 		// It fails on a closed connection only, which the next read tells of.
 		_ = k.TCPConn.SetReadDeadline(time.Now().Add(headerTimeout))
 	}
 }
 
-// release asks the reader to end the connection if it is idle and no longer promised to its
+// closeIfIdle asks the reader to end the connection if it is idle and no longer promised to its
 // caller, and returns since when it is idle.
-func (k *callerConn) release(now time.Time) (since time.Time, idle bool) {
+func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, idle bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.idle || k.released || now.Before(k.promised) {
+	if !k.idle || k.closing || now.Before(k.keepUntil) {
 		return time.Time{}, false
 	}
-	k.released = true
+	k.closing = true
 	// It fails on a closed connection only, whose reader ends by itself.
 	_ = k.TCPConn.SetReadDeadline(time.Unix(1, 0))
-	return k.since, true
+	return k.idleSince, true
 }
 
 // callerConns are the open connections of callers.
 type callerConns struct {
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
-	// late counts requests that came as their connections were released, and were served.
-	late atomic.Int64
+	// servedLate counts requests that came as their connections were released, and were served.
+	servedLate atomic.Int64
 }
 
 func newCallerConns() *callerConns {
@@ -136,7 +136,7 @@
 func (o *callerConns) add(c *net.TCPConn) *callerConn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	k := &callerConn{TCPConn: c, conns: o, idle: true, since: time.Now()}
+	k := &callerConn{TCPConn: c, conns: o, idle: true, idleSince: time.Now()}
 	o.open[k] = struct{}{}
 	return k
 }
@@ -153,8 +153,8 @@
 	return len(o.open)
 }
 
-// busy reports whether a request is in flight on any of them.
-func (o *callerConns) busy() bool {
+// anyBusy reports whether a request is in flight on any of them.
+func (o *callerConns) anyBusy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for k := range o.open {
@@ -165,13 +165,13 @@
 	return false
 }
 
-// release asks idle connections to end, and notes them.
-func (o *callerConns) release(to *IdleReport, now time.Time) {
+// closeIdle asks idle connections to end, and notes them.
+func (o *callerConns) closeIdle(to *IdleReport, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for k := range o.open {
-		if since, idle := k.release(now); idle {
-			to.note(since, now)
+		if since, idle := k.closeIfIdle(now); idle {
+			to.record(since, now)
 		}
 	}
 }
@@ -180,32 +180,32 @@
 // that was on its way on one of them.
 type IdleReport struct {
 	Closed int
-	// At is when the last of them was closed. Oldest and Newest are since when the one that
+	// LastClosedAt is when the last of them was closed. Oldest and Newest are since when the one that
 	// was idle for longest and the one that was idle for the shortest time were.
-	At, Oldest, Newest time.Time
-	// Late is how many others were to be closed as a request came, which was served.
-	Late int
+	LastClosedAt, OldestIdleSince, NewestIdleSince time.Time
+	// ServedLate is how many others were to be closed as a request came, which was served.
+	ServedLate int
 }
 
-func (r *IdleReport) note(since, now time.Time) {
-	if r.Closed == 0 || since.Before(r.Oldest) {
-		r.Oldest = since
+func (r *IdleReport) record(since, now time.Time) {
+	if r.Closed == 0 || since.Before(r.OldestIdleSince) {
+		r.OldestIdleSince = since
 	}
-	if since.After(r.Newest) {
-		r.Newest = since
+	if since.After(r.NewestIdleSince) {
+		r.NewestIdleSince = since
 	}
-	r.At = now
+	r.LastClosedAt = now
 	r.Closed++
 }
 
-// connListener hands out connections that are kept account of.
-type connListener struct {
+// trackingListener hands out connections that are kept account of.
+type trackingListener struct {
 	*CallerListener
 	conns *callerConns
 }
 
 // Accept returns the next connection.
-func (l connListener) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.CallerListener.Accept()
 	if err != nil {
 		return nil, err
--- a/request/callerlistener.go
+++ b/request/callerlistener.go
@@ -18,14 +18,14 @@
 // requests that are on them already.
 type CallerListener struct {
 	*net.TCPListener
-	// last is a second descriptor of the socket, which listens until it is closed.
-	last int
-	mu   sync.Mutex
-	// left are the connections that were set up before the close.
-	left   []net.Conn
-	closed bool
+	// dupFD is a second descriptor of the socket, which listens until it is closed.
+	dupFD int
+	mu    sync.Mutex
+	// backlog are the connections that were set up before the close.
+	backlog []net.Conn
+	closed  bool
 	// handshakes is what the close found.
-	handshakes Handshakes
+	handshakes HandshakeReport
 }
 
 // ListenForCallers listens at the address. It takes plain TCP only: a listener for several
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, errors.Join(err, t.Close())
 	}
-	return &CallerListener{TCPListener: t, last: last}, nil
+	return &CallerListener{TCPListener: t, dupFD: last}, nil
 }
 
 // duplicate returns a second descriptor of the listener's socket.
@@ -74,11 +74,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.left) == 0 {
+	if len(l.backlog) == 0 {
 		return nil, err
 	}
-	c = l.left[0]
-	l.left = l.left[1:]
+	c = l.backlog[0]
+	l.backlog = l.backlog[1:]
 	return c, nil
 }
 
@@ -97,37 +97,37 @@
 	}
 	l.closed = true
 	begun := time.Now()
-	l.handshakes = l.settle()
+	l.handshakes = l.awaitHalfOpen()
 	err := l.TCPListener.Close()
-	waited := acceptAndClose(l.last)
-	l.handshakes.Waited = len(waited)
-	l.handshakes.KeptOutAt, l.handshakes.ClosedAt = begun, time.Now()
+	waited := acceptAndClose(l.dupFD)
+	l.handshakes.AwaitedAccept = len(waited)
+	l.handshakes.BlockedAt, l.handshakes.ClosedAt = begun, time.Now()
 	for _, fd := range waited {
-		c, failed := connOf(fd)
+		c, failed := connFromFD(fd)
 		if failed != nil {
 			err = errors.Join(err, failed)
 			continue
 		}
-		l.left = append(l.left, c)
+		l.backlog = append(l.backlog, c)
 	}
 	return err
 }
 
-// settle keeps new connections out and waits for those that are half set up. Callers are
+// awaitHalfOpen keeps new connections out and waits for those that are half set up. Callers are
 // accepted meanwhile.
-func (l *CallerListener) settle() Handshakes {
-	if err := attachFilter(l.last, noNewConnections); err != nil {
-		return Handshakes{Err: err}
+func (l *CallerListener) awaitHalfOpen() HandshakeReport {
+	if err := attachFilter(l.dupFD, dropNewConnections); err != nil {
+		return HandshakeReport{Err: err}
 	}
 	at, err := netip.ParseAddrPort(l.Addr().String())
 	if err != nil {
-		return Handshakes{Err: err}
+		return HandshakeReport{Err: err}
 	}
 	return awaitHandshakes(at)
 }
 
 // Handshakes returns what the close found.
-func (l *CallerListener) Handshakes() Handshakes {
+func (l *CallerListener) Handshakes() HandshakeReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.handshakes
@@ -138,7 +138,7 @@
 // else: where new connections could not be kept out, one that is set up between the last
 // two calls is lost.
 func acceptAndClose(fd int) []int {
-	l := make([]int, 0, acceptRoom)
+	l := make([]int, 0, backlogCapacity)
 	for {
 		n, _, errno := syscall.RawSyscall(syscall.SYS_ACCEPT4, uintptr(fd), 0, 0)
 		switch errno {
@@ -153,12 +153,12 @@
 	}
 }
 
-// acceptRoom is how many connections a close makes room for beforehand: more
+// backlogCapacity is how many connections a close makes room for beforehand: more
 // than a host is sent in a second.
-const acceptRoom = 256
+const backlogCapacity = 256
 
-// connOf returns the connection of a file descriptor, which it takes over.
-func connOf(fd int) (net.Conn, error) {
+// connFromFD returns the connection of a file descriptor, which it takes over.
+func connFromFD(fd int) (net.Conn, error) {
 	syscall.CloseOnExec(fd)
 	f := os.NewFile(uintptr(fd), "caller")
 	defer func() { _ = f.Close() }()
--- a/request/callers_test.go
+++ b/request/callers_test.go
@@ -47,17 +47,17 @@
 // the last look and the close, unless new ones are kept out before. A caller that is kept
 // out learns of it after a second, so that some listeners are closed side by side.
 func TestCloseUnderNewConnections(t *testing.T) {
-	requireCloseLosesNothing(t, closing{listeners: 8, rounds: 25, callers: 2})
+	requireCloseLosesNothing(t, closeLoad{listeners: 8, rounds: 25, callers: 2})
 }
 
-// closing says how many listeners are closed side by side, how often, and under how many
+// closeLoad says how many listeners are closed side by side, how often, and under how many
 // callers each.
-type closing struct {
+type closeLoad struct {
 	listeners, rounds, callers int
 }
 
 // requireCloseLosesNothing requires that no close loses a connection.
-func requireCloseLosesNothing(t *testing.T, c closing) {
+func requireCloseLosesNothing(t *testing.T, c closeLoad) {
 	t.Helper()
 	var lost, losing atomic.Int64
 	var g sync.WaitGroup
@@ -104,7 +104,7 @@
 	return lost.Load()
 }
 
-// TestCallersOfAClosedListenerReachNoOther tells how TestCloseUnderNewConnections failed
+// TestCallersOfClosedListenerReachNoOtherServer tells how TestCloseUnderNewConnections failed
 // once in CI, with two lost connections at one of 200 closes. A caller whose request for a
 // connection is dropped by the close repeats it a second later. The kernel had given the
 // port to a server of another test by then, so the callers went on with that server and
@@ -113,7 +113,7 @@
 // connections were made to the other server.
 //
 // The other server is played here by a listener that resets what it accepts.
-func TestCallersOfAClosedListenerReachNoOther(t *testing.T) {
+func TestCallersOfClosedListenerReachNoOtherServer(t *testing.T) {
 	require.Zero(t, lostByCloseBefore(t, 2, func(closed netip.AddrPort) { resetOnce(t, closed.Port()) }))
 }
 
@@ -150,7 +150,7 @@
 	return true
 }
 
-// TestCloseWaitsForConnectionsHalfSetUp tells how a planned stop lost twelve requests at
+// TestCloseWaitsForHalfOpenConnections tells how a planned stop lost twelve requests at
 // one moment. Callers had opened connections, which counts as done for them once the
 // stopping host's kernel has answered, and had sent their requests. The packets that
 // complete a connection on the host's side were still held up on a processor that got no
@@ -159,7 +159,7 @@
 // accepted in that moment, so that a last look for connections found none.
 //
 // The packets are held up here by a filter, until the close puts its own in its place.
-func TestCloseWaitsForConnectionsHalfSetUp(t *testing.T) {
+func TestCloseWaitsForHalfOpenConnections(t *testing.T) {
 	const callers = 12
 	l, err := ListenForCallers(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
@@ -183,8 +183,8 @@
 // acknowledge and open nothing. Their senders repeat them.
 func holdUpHandshakes(t *testing.T, l *CallerListener) {
 	t.Helper()
-	require.NoError(t, attachFilter(l.last, []bpf.Instruction{
-		bpf.LoadAbsolute{Off: tcpFlagsAt, Size: 1},
+	require.NoError(t, attachFilter(l.dupFD, []bpf.Instruction{
+		bpf.LoadAbsolute{Off: tcpFlagsOffset, Size: 1},
 		bpf.JumpIf{Cond: bpf.JumpBitsSet, Val: tcpSYN, SkipFalse: 1},
 		bpf.RetConstant{Val: wholePacket},
 		bpf.RetConstant{Val: 0},
@@ -212,5 +212,5 @@
 // a time while eight callers of each go on connecting. Where the listener was closed right
 // after a last look for connections, 38 of 1,200 closes lost one: set up between the two.
 func TestCloseUnderCallersOfManyHostsLosesNoConnection(t *testing.T) {
-	requireCloseLosesNothing(t, closing{listeners: 3, rounds: 30, callers: 8})
+	requireCloseLosesNothing(t, closeLoad{listeners: 3, rounds: 30, callers: 8})
 }
--- a/request/callerstop_test.go
+++ b/request/callerstop_test.go
@@ -26,18 +26,18 @@
 // stopWithin is how long the stops of these tests may take: more than their callers pause.
 const stopWithin = 12 * time.Second
 
-// callersOf returns a listener's side of the handler that serves, with its listener.
-func callersOf(t *testing.T, h http.HandlerFunc) (*Callers, *CallerListener) {
+// startCallerServer returns a listener's side of the handler that serves, with its listener.
+func startCallerServer(t *testing.T, h http.HandlerFunc) (*CallerServer, *CallerListener) {
 	t.Helper()
 	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.Unshared(), 0))
 	require.NoError(t, err)
-	c := NewCallers(h, KeepFor(0, stopWithin), CallerPause)
+	c := NewCallerServer(h, KeepAliveTimeout(0, stopWithin), IdleGrace)
 	go func() { _ = c.Serve(l) }()
 	return c, l
 }
 
 // stop begins a stop and returns what waits for its end.
-func stop(t *testing.T, c *Callers, l *CallerListener) (wait func() StopReport) {
+func stop(t *testing.T, c *CallerServer, l *CallerListener) (wait func() StopReport) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), stopWithin)
 	done := make(chan error, 1)
@@ -105,7 +105,7 @@
 // host reads and drops: http.Server, once it shuts down, closes a connection whose request
 // it has just read, and the caller hears EOF.
 func TestStopAnswersFirstRequestOfAnOpenConnection(t *testing.T) {
-	c, l := callersOf(t, echo)
+	c, l := startCallerServer(t, echo)
 	k := dialRaw(t, l)
 	time.Sleep(50 * time.Millisecond)
 	wait := stop(t, c, l)
@@ -114,10 +114,10 @@
 	wait()
 }
 
-// TestStopAnswersWhatComesWhileRequestsAreInFlight guards against the same while the stop
+// TestStopAnswersRequestsThatArriveWhileOthersAreInFlight guards against the same while the stop
 // waits for a long request: others come meanwhile, on connections opened before.
-func TestStopAnswersWhatComesWhileRequestsAreInFlight(t *testing.T) {
-	c, l := callersOf(t, func(w http.ResponseWriter, r *http.Request) {
+func TestStopAnswersRequestsThatArriveWhileOthersAreInFlight(t *testing.T) {
+	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		if string(b) == "long" {
 			time.Sleep(2 * time.Second)
@@ -138,7 +138,7 @@
 // TestStopServesACallerThatPauses guards against a request lost on a kept connection that
 // the stop closes while its caller pauses.
 func TestStopServesACallerThatPauses(t *testing.T) {
-	c, l := callersOf(t, echo)
+	c, l := startCallerServer(t, echo)
 	k := dialRaw(t, l)
 	require.NoError(t, k.ask("before"))
 	wait := stop(t, c, l)
@@ -149,25 +149,25 @@
 
 // TestStopEndsOnceNoConnectionIsOpen guards against stops that wait without need.
 func TestStopEndsOnceNoConnectionIsOpen(t *testing.T) {
-	c, l := callersOf(t, echo)
+	c, l := startCallerServer(t, echo)
 	k := dialRaw(t, l)
 	require.NoError(t, k.ask("before"))
 	wait := stop(t, c, l)
 	require.NoError(t, k.ask("last"))
 	began := time.Now()
 	wait()
-	require.Less(t, time.Since(began), CallerPause)
+	require.Less(t, time.Since(began), IdleGrace)
 }
 
 // TestStopClosesConnectionsThatStayIdle guards against a stop that waits for callers without
 // end, and tells how many it gave up.
 func TestStopClosesConnectionsThatStayIdle(t *testing.T) {
-	c, l := callersOf(t, echo)
+	c, l := startCallerServer(t, echo)
 	used, unused := dialRaw(t, l), dialRaw(t, l)
 	require.NoError(t, used.ask("before"))
 	r := stop(t, c, l)()
 	require.Equal(t, 2, r.Idle.Closed)
-	require.False(t, r.Idle.Newest.Before(r.Idle.Oldest))
+	require.False(t, r.Idle.NewestIdleSince.Before(r.Idle.OldestIdleSince))
 	for _, k := range []*rawConn{used, unused} {
 		_, err := k.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
@@ -199,19 +199,19 @@
 	require.Equal(t, want, string(b[:n]))
 }
 
-// TestRequestThatComesAsItsConnectionIsToEndIsServed guards against a request lost between
+// TestRequestOnClosingConnectionIsServed guards against a request lost between
 // the decision to close an idle connection and its end: the reader looks once more.
-func TestRequestThatComesAsItsConnectionIsToEndIsServed(t *testing.T) {
+func TestRequestOnClosingConnectionIsServed(t *testing.T) {
 	host, caller := acceptedPair(t)
 	_, err := caller.Write([]byte("request"))
 	require.NoError(t, err)
-	_, idle := host.release(time.Now())
+	_, idle := host.closeIfIdle(time.Now())
 	require.True(t, idle)
 	requireRead(t, host, "request")
-	_, idle = host.release(time.Now())
+	_, idle = host.closeIfIdle(time.Now())
 	require.False(t, idle, "a connection with a request is not idle")
-	host.rest(0)
-	_, idle = host.release(time.Now())
+	host.markIdle(0)
+	_, idle = host.closeIfIdle(time.Now())
 	require.True(t, idle)
 	b := make([]byte, 1)
 	_, err = host.Read(b)
@@ -220,10 +220,10 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestRequestAtTheEndOfAnIdleTimeIsServed guards against the same without any stop: a
+// TestRequestAtIdleTimeoutIsServed guards against the same without any stop: a
 // connection is closed after a minute without a request, or ten seconds without a first one,
 // and a host that is held up then finds both the end of that time and a request.
-func TestRequestAtTheEndOfAnIdleTimeIsServed(t *testing.T) {
+func TestRequestAtIdleTimeoutIsServed(t *testing.T) {
 	host, caller := acceptedPair(t)
 	_, err := caller.Write([]byte("request"))
 	require.NoError(t, err)
@@ -237,22 +237,22 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the time for a request that has begun is not prolonged")
 }
 
-// TestPromisedConnectionIsNotReleased guards against a connection closed while its caller
+// TestConnectionStaysOpenForAnnouncedTimeout guards against a connection closed while its caller
 // has been told that it may use it.
-func TestPromisedConnectionIsNotReleased(t *testing.T) {
+func TestConnectionStaysOpenForAnnouncedTimeout(t *testing.T) {
 	host, _ := acceptedPair(t)
 	now := time.Now()
-	host.rest(time.Minute)
-	_, idle := host.release(now.Add(50 * time.Second))
+	host.markIdle(time.Minute)
+	_, idle := host.closeIfIdle(now.Add(50 * time.Second))
 	require.False(t, idle)
-	_, idle = host.release(now.Add(61 * time.Second))
+	_, idle = host.closeIfIdle(now.Add(61 * time.Second))
 	require.True(t, idle)
 }
 
-// TestCallersAreToldHowLongAStopKeepsTheirConnections guards against callers that cannot
+// TestAnswersAnnounceKeepAliveTimeout guards against callers that cannot
 // know when an idle connection may be closed under their next request.
-func TestCallersAreToldHowLongAStopKeepsTheirConnections(t *testing.T) {
-	c, l := callersOf(t, echo)
+func TestAnswersAnnounceKeepAliveTimeout(t *testing.T) {
+	c, l := startCallerServer(t, echo)
 	k := dialRaw(t, l)
 	require.NoError(t, k.send("before"))
 	res, err := k.answer("before")
@@ -268,11 +268,11 @@
 	wait()
 }
 
-// TestStopKeepsWhatItsLastAnswersPromised guards against a request lost on a connection
+// TestStopHonoursTimeoutAnnouncedByLastAnswers guards against a request lost on a connection
 // whose answer began before the stop, told that it may be used, and ended when the stop had
 // waited for kept connections already.
-func TestStopKeepsWhatItsLastAnswersPromised(t *testing.T) {
-	c, l := callersOf(t, func(w http.ResponseWriter, r *http.Request) {
+func TestStopHonoursTimeoutAnnouncedByLastAnswers(t *testing.T) {
+	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Length", "4")
 		w.WriteHeader(http.StatusOK)
@@ -291,7 +291,7 @@
 	wait()
 }
 
-func TestKeepFitsIntoAStop(t *testing.T) {
+func TestKeepAliveTimeoutFitsIntoStop(t *testing.T) {
 	for _, v := range []struct{ delay, within, keep time.Duration }{
 		{time.Second, time.Hour, 3 * time.Second},
 		{2500 * time.Millisecond, 4500 * time.Millisecond, 3 * time.Second},
@@ -299,38 +299,38 @@
 		{0, time.Second, 500 * time.Millisecond},
 		{3 * time.Second, 2 * time.Second, 2 * time.Second},
 	} {
-		require.Equal(t, v.keep, KeepFor(v.delay, v.within), "%s, %s", v.delay, v.within)
+		require.Equal(t, v.keep, KeepAliveTimeout(v.delay, v.within), "%s, %s", v.delay, v.within)
 	}
 }
 
-// TestStopAnswersDrawnCallers draws callers that open connections, send requests in pieces and
+// TestStopAnswersRandomCallers draws callers that open connections, send requests in pieces and
 // pause before and between them, around stops. Whoever begins a request within CallerPause of
 // the stop, on a connection that no answer has closed, has to be answered.
-func TestStopAnswersDrawnCallers(t *testing.T) {
+func TestStopAnswersRandomCallers(t *testing.T) {
 	const plays, callers = 40, 8
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	var g sync.WaitGroup
 	for n := range plays {
 		d := rand.New(rand.NewPCG(seed, uint64(n)))
-		g.Go(func() { playDrawnStop(t, d, callers) })
+		g.Go(func() { runRandomStop(t, d, callers) })
 	}
 	g.Wait()
 }
 
-// playDrawnStop stops a listener under drawn callers.
-func playDrawnStop(t *testing.T, d *rand.Rand, callers int) {
-	c, l := callersOf(t, func(w http.ResponseWriter, r *http.Request) {
+// runRandomStop stops a listener under drawn callers.
+func runRandomStop(t *testing.T, d *rand.Rand, callers int) {
+	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		time.Sleep(time.Duration(len(b)) * 10 * time.Millisecond)
 		_, _ = w.Write(b)
 	})
-	stopAt := time.Now().Add(drawn(d, time.Second))
+	stopAt := time.Now().Add(randomDelay(d, time.Second))
 	var g sync.WaitGroup
 	for range callers {
 		k := dialRaw(t, l)
 		own := rand.New(rand.NewPCG(d.Uint64(), d.Uint64()))
-		g.Go(func() { k.askInPieces(t, own, stopAt.Add(CallerPause)) })
+		g.Go(func() { k.askInPieces(t, own, stopAt.Add(IdleGrace)) })
 	}
 	time.Sleep(time.Until(stopAt))
 	stop(t, c, l)()
@@ -341,7 +341,7 @@
 // that closes the connection.
 func (k *rawConn) askInPieces(t *testing.T, d *rand.Rand, until time.Time) {
 	for {
-		time.Sleep(drawn(d, 1500*time.Millisecond))
+		time.Sleep(randomDelay(d, 1500*time.Millisecond))
 		if time.Now().After(until) {
 			return
 		}
@@ -349,7 +349,7 @@
 		request := fmt.Sprintf("POST / HTTP/1.1\r\nHost: entry\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		for first := true; request != ""; first = false {
 			if !first {
-				time.Sleep(drawn(d, 300*time.Millisecond))
+				time.Sleep(randomDelay(d, 300*time.Millisecond))
 			}
 			n := 1 + d.IntN(len(request))
 			if _, err := io.WriteString(k, request[:n]); !assert.NoError(t, err) {
@@ -364,8 +364,8 @@
 	}
 }
 
-// drawn returns a time below a bound, short ones more often.
-func drawn(d *rand.Rand, below time.Duration) time.Duration {
+// randomDelay returns a time below a bound, short ones more often.
+func randomDelay(d *rand.Rand, below time.Duration) time.Duration {
 	f := d.Float64()
 	return time.Duration(f * f * float64(below))
 }
@@ -387,7 +387,7 @@
 // lostByStop stops a listener under callers that pause for 0.4 to 2 s, and returns how many
 // requests were lost.
 func lostByStop(t *testing.T, callers int) int64 {
-	c, l := callersOf(t, echo)
+	c, l := startCallerServer(t, echo)
 	var lost atomic.Int64
 	var g sync.WaitGroup
 	for range callers {
--- a/request/choice.go
+++ b/request/choice.go
@@ -6,20 +6,20 @@
 	"amberway/common"
 )
 
-// Start says that an item runs on its target from now on.
-type Start struct {
+// Assignment says that an item runs on its target from now on.
+type Assignment struct {
 	Item *Item
 }
 
 // Next starts one waiting request of the pool that the service uses, or
 // returns false where none can start now.
-func (s *Scheduler) Next(now time.Time, poolName string) (Start, bool) {
+func (s *Scheduler) Next(now time.Time, poolName string) (Assignment, bool) {
 	p := s.pool(poolName)
-	v, c, ok := s.choose(now, p)
+	v, c, ok := s.nextQueue(now, p)
 	if !ok {
-		return Start{}, false
+		return Assignment{}, false
 	}
-	t, probe := s.pick(now, p, v)
+	t, probe := s.pickTarget(now, p, v)
 	i, _ := v.queues[c].heap.Pop()
 	v.queues[c].work -= i.estimate
 	i.queue = nil
@@ -28,23 +28,23 @@
 	i.pool = p
 	i.Target = t.Name
 	i.target = t
-	i.started = now
+	i.startedAt = now
 	i.probe = probe
 	s.inFlight[t.Name]++
-	v.virtual += i.estimate.Seconds() / float64(max(v.Weight, 1))
-	p.virtual[c] += i.estimate.Seconds() / s.shareOf(c)
-	p.begin(t, c)
-	return Start{Item: i}, true
+	v.virtualTime += i.estimate.Seconds() / float64(max(v.Weight, 1))
+	p.virtualTime[c] += i.estimate.Seconds() / s.classShare(c)
+	p.takeSlot(t, c)
+	return Assignment{Item: i}, true
 }
 
-// choose returns the service and class that start next.
-func (s *Scheduler) choose(now time.Time, p *pool) (*service, common.Class, bool) {
-	quick := s.fairest(now, p, common.Quick)
-	patient := s.fairest(now, p, common.Patient)
-	if patient != nil && !s.patientMay(p) {
+// nextQueue returns the service and class that start next.
+func (s *Scheduler) nextQueue(now time.Time, p *pool) (*service, common.Class, bool) {
+	quick := s.fairestService(now, p, common.Quick)
+	patient := s.fairestService(now, p, common.Patient)
+	if patient != nil && !s.canStartPatient(p) {
 		patient = nil
 	}
-	turn := p.virtual[common.Patient] < p.virtual[common.Quick]
+	turn := p.virtualTime[common.Patient] < p.virtualTime[common.Quick]
 	switch {
 	case quick == nil && patient == nil:
 		return nil, 0, false
@@ -54,59 +54,59 @@
 	return quick, common.Quick, true
 }
 
-func (s *Scheduler) shareOf(c common.Class) float64 {
+func (s *Scheduler) classShare(c common.Class) float64 {
 	if c == common.Patient {
 		return s.policy.PatientShare
 	}
 	return 1 - s.policy.PatientShare
 }
 
-// fairest returns the service with waiting requests of the class that had the
+// fairestService returns the service with waiting requests of the class that had the
 // least of the pool so far, of those that have a target free.
-func (s *Scheduler) fairest(now time.Time, p *pool, c common.Class) *service {
+func (s *Scheduler) fairestService(now time.Time, p *pool, c common.Class) *service {
 	var best *service
 	for _, v := range p.services {
 		if v.queues[c].heap.Len() == 0 {
 			continue
 		}
-		if (best == nil || v.virtual < best.virtual) && s.hasFree(now, p, v) {
+		if (best == nil || v.virtualTime < best.virtualTime) && s.hasFreeTarget(now, p, v) {
 			best = v
 		}
 	}
 	return best
 }
 
-// patientMay reports whether one more patient request leaves the reserve to
+// canStartPatient reports whether one more patient request leaves the reserve to
 // quick ones. A pool with one slot has no reserve.
-func (s *Scheduler) patientMay(p *pool) bool {
-	most := p.slots - int(float64(p.slots)*s.policy.Reserve+0.5)
+func (s *Scheduler) canStartPatient(p *pool) bool {
+	most := p.slots - int(float64(p.slots)*s.policy.QuickReserve+0.5)
 	return p.busy[common.Patient] < max(most, 1)
 }
 
-// hasFree reports whether pick has a target for the service.
-func (s *Scheduler) hasFree(now time.Time, p *pool, v *service) bool {
+// hasFreeTarget reports whether pick has a target for the service.
+func (s *Scheduler) hasFreeTarget(now time.Time, p *pool, v *service) bool {
 	if v.Placed {
-		t, _ := s.pickPlaced(now, v)
+		t, _ := s.pickPlacedTarget(now, v)
 		return t != nil
 	}
-	t, ok := p.aside.Peek()
-	return len(p.free) > 0 || (ok && t.due(now))
+	t, ok := p.quarantined.Peek()
+	return len(p.free) > 0 || (ok && t.probeDue(now))
 }
 
-// due reports whether a target that is set aside can be probed.
-func (t *target) due(now time.Time) bool {
-	return !now.Before(t.asideUntil) && t.busy < t.Slots
+// probeDue reports whether a target that is set aside can be probed.
+func (t *target) probeDue(now time.Time) bool {
+	return !now.Before(t.quarantinedUntil) && t.busy < t.Slots
 }
 
-// pick returns a free target for a service that has one: one that is due to be
+// pickTarget returns a free target for a service that has one: one that is due to be
 // probed, and true, else the better of two at random.
-func (s *Scheduler) pick(now time.Time, p *pool, v *service) (*target, bool) {
+func (s *Scheduler) pickTarget(now time.Time, p *pool, v *service) (*target, bool) {
 	if v.Placed {
-		t, probe := s.pickPlaced(now, v)
-		return t, probe && p.unaside(t)
+		t, probe := s.pickPlacedTarget(now, v)
+		return t, probe && p.beginProbe(t)
 	}
-	if t, ok := p.aside.Peek(); ok && t.due(now) {
-		return t, p.unaside(t)
+	if t, ok := p.quarantined.Peek(); ok && t.probeDue(now) {
+		return t, p.beginProbe(t)
 	}
 	a := p.free[s.random.IntN(len(p.free))]
 	b := p.free[s.random.IntN(len(p.free))]
@@ -116,30 +116,30 @@
 	return a, false
 }
 
-// pickPlaced returns the cheapest free target of those that hold the service,
+// pickPlacedTarget returns the cheapest free target of those that hold the service,
 // or one that is due to be probed, and true. Their number is that of the job's
 // replicas.
-func (s *Scheduler) pickPlaced(now time.Time, v *service) (*target, bool) {
+func (s *Scheduler) pickPlacedTarget(now time.Time, v *service) (*target, bool) {
 	var best *target
 	for _, n := range v.Targets {
 		t, ok := s.targets[n]
 		if !ok || t.Pool != v.Pool {
 			continue
 		}
-		if t.asideSlot != nil && t.due(now) {
+		if t.heapEntry != nil && t.probeDue(now) {
 			return t, true
 		}
-		if t.place >= 0 && (best == nil || t.cost() < best.cost()) {
+		if t.freeIndex >= 0 && (best == nil || t.cost() < best.cost()) {
 			best = t
 		}
 	}
 	return best, false
 }
 
-// unaside takes a target off the heap for its probe. It returns true.
-func (p *pool) unaside(t *target) bool {
-	p.aside.Remove(t.asideSlot)
-	t.asideSlot = nil
+// beginProbe takes a target off the heap for its probe. It returns true.
+func (p *pool) beginProbe(t *target) bool {
+	p.quarantined.Remove(t.heapEntry)
+	t.heapEntry = nil
 	return true
 }
 
@@ -148,8 +148,8 @@
 	return float64(t.run.value+time.Millisecond) * float64(t.busy+1) / float64(t.Slots)
 }
 
-func (p *pool) begin(t *target, c common.Class) {
+func (p *pool) takeSlot(t *target, c common.Class) {
 	t.busy++
 	p.busy[c]++
-	p.place(t)
+	p.updateFree(t)
 }
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -15,8 +15,8 @@
 	"amberway/internal/standin"
 )
 
-// idBornAt makes a version 7 id with the time and a number.
-func idBornAt(at time.Time, n uint32) uuid.UUID {
+// idCreatedAt makes a version 7 id with the time and a number.
+func idCreatedAt(at time.Time, n uint32) uuid.UUID {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[0:8], uint64(at.UnixMilli())<<16)
 	id[6] = 0x70
@@ -55,7 +55,7 @@
 
 func (m *claimModel) newShard(n int) *shard {
 	s := newShard(claimStore{m.memory, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.Quiet().Log("test"), func() {})
-	s.retry = 0
+	s.retryDelay = 0
 	return s
 }
 
@@ -69,7 +69,7 @@
 func (m *claimModel) decide(bool) standin.Fate {
 	if m.depth < 3 && rapid.IntRange(0, 9).Draw(m.t, "pause") == 0 {
 		m.depth++
-		m.pass()
+		m.advance()
 		m.claim()
 		m.depth--
 	}
@@ -80,8 +80,8 @@
 	return rapid.SampledFrom(fates).Draw(m.t, "fate")
 }
 
-func (m *claimModel) pass() {
-	steps := []time.Duration{time.Second, time.Minute, IDWindow / 2, IDWindow, 2 * IDWindow, SegmentLife}
+func (m *claimModel) advance() {
+	steps := []time.Duration{time.Second, time.Minute, IDLifetime / 2, IDLifetime, 2 * IDLifetime, SegmentLifetime}
 	m.now = m.now.Add(rapid.SampledFrom(steps).Draw(m.t, "pass"))
 }
 
@@ -111,14 +111,14 @@
 	if len(m.ids) > 0 && rapid.Bool().Draw(m.t, "copy") {
 		return rapid.SampledFrom(m.ids).Draw(m.t, "id")
 	}
-	id := idBornAt(m.now, uint32(len(m.ids)))
+	id := idCreatedAt(m.now, uint32(len(m.ids)))
 	m.ids = append(m.ids, id)
 	return id
 }
 
 func (m *claimModel) trim() {
 	n := rapid.IntRange(0, len(m.shards)-1).Draw(m.t, "host")
-	m.shards[n].trimAt = time.Time{}
+	m.shards[n].nextTrim = time.Time{}
 	m.busy[n] = true
 	m.shards[n].trim(context.Background())
 	delete(m.busy, n)
@@ -137,7 +137,7 @@
 		m := newClaimModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"claim":   func(t *rapid.T) { m.t = t; m.claim() },
-			"pass":    func(t *rapid.T) { m.t = t; m.pass() },
+			"pass":    func(t *rapid.T) { m.t = t; m.advance() },
 			"trim":    func(t *rapid.T) { m.t = t; m.trim() },
 			"restart": func(t *rapid.T) { m.t = t; m.restart() },
 			"deliver": func(*rapid.T) { m.memory.Deliver() },
@@ -151,7 +151,7 @@
 	now := time.Unix(1e9, 0)
 	m := standin.NewMemory()
 	s := newShard(claimStore{m, 0}, rate.Inf, func() time.Time { return now }, common.Quiet().Log("test"), func() {})
-	id := idBornAt(now, 1)
+	id := idCreatedAt(now, 1)
 	ask := func(attempt uint64) ClaimOutcome {
 		p := pendingClaim{ctx: context.Background(), claim: Claim{ID: id, Attempt: attempt}, done: make(chan ClaimOutcome, 1)}
 		s.commit(context.Background(), []pendingClaim{p})
@@ -160,30 +160,30 @@
 	require.Equal(t, ClaimGranted, ask(1))
 	require.Equal(t, ClaimTaken, ask(2))
 	require.Equal(t, ClaimGranted, ask(1))
-	now = now.Add(IDWindow)
+	now = now.Add(IDLifetime)
 	require.Equal(t, ClaimExpired, ask(1))
 	require.Equal(t, ClaimExpired, ask(3))
 }
 
-// TestLogNumbersNeverStartAgain shows that the last segment outlives all
+// TestSegmentNumbersAreNeverReused shows that the last segment outlives all
 // others, however old it is.
-func TestLogNumbersNeverStartAgain(t *testing.T) {
+func TestSegmentNumbersAreNeverReused(t *testing.T) {
 	l := NewClaimLog()
 	now := time.Unix(1e9, 0)
 	l.Apply(now, 1, Segment{})
 	l.Apply(now, 2, Segment{})
-	old := l.Trim(now.Add(2 * SegmentLife))
+	old := l.Trim(now.Add(2 * SegmentLifetime))
 	require.Equal(t, []int64{1}, old)
 	require.Equal(t, int64(3), l.Next())
 }
 
-// TestClaimNobodyWaitsForIsNotMade shows that a claim whose request was given up
+// TestAbandonedClaimIsNotWritten shows that a claim whose request was given up
 // while the platform was away does not take the id: the caller, who was told to
 // come back with it, is granted it then.
-func TestClaimNobodyWaitsForIsNotMade(t *testing.T) {
+func TestAbandonedClaimIsNotWritten(t *testing.T) {
 	m := standin.NewMemory()
 	s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.Quiet().Log("test"), func() {})
-	id := idBornAt(time.Now(), 1)
+	id := idCreatedAt(time.Now(), 1)
 	given, giveUp := context.WithCancel(t.Context())
 	first := pendingClaim{ctx: given, claim: Claim{ID: id, Attempt: 1}, done: make(chan ClaimOutcome, 1)}
 	s.queue <- first
--- a/request/claimer.go
+++ b/request/claimer.go
@@ -24,17 +24,17 @@
 const (
 	// claimShards is the number of logs that claims are divided over.
 	claimShards = 8
-	// claimWrites is the most segments a second that all shards write
+	// segmentWritesPerSecond is the most segments a second that all shards write
 	// together, of the platform's 100 writes.
-	claimWrites = 60
-	// claimCall bounds one call to a shard's owner: some batches of its share
+	segmentWritesPerSecond = 60
+	// ownerCallTimeout bounds one call to a shard's owner: some batches of its share
 	// of the writes.
-	claimCall = 700 * time.Millisecond
-	// claimRetry is the pause before the next try.
-	claimRetry = 50 * time.Millisecond
-	// claimRemote is how often the owner is tried before the process writes to
+	ownerCallTimeout = 700 * time.Millisecond
+	// claimRetryDelay is the pause before the next try.
+	claimRetryDelay = 50 * time.Millisecond
+	// maxRemoteTries is how often the owner is tried before the process writes to
 	// the log itself.
-	claimRemote = 1
+	maxRemoteTries = 1
 )
 
 // Members tells who is alive and how to reach them.
@@ -54,12 +54,12 @@
 	members Members
 	dialer  *peers.Dialer
 	deps    common.Deps
-	out     common.Log
+	logger  common.Log
 	ctx     context.Context
 	mu      sync.Mutex
 	shards  map[uint32]*shard
-	// Segments counts the segments that this process wrote.
-	Segments atomic.Int64
+	// SegmentsWritten counts the segments that this process wrote.
+	SegmentsWritten atomic.Int64
 }
 
 // NewClaimer returns a claimer whose shards work until the context ends.
@@ -70,7 +70,7 @@
 		members: m,
 		dialer:  l,
 		deps:    d,
-		out:     d.Log("claims"),
+		logger:  d.Log("claims"),
 		ctx:     ctx,
 		shards:  map[uint32]*shard{},
 	}
@@ -96,29 +96,29 @@
 func (c *Claimer) Claim(ctx context.Context, id uuid.UUID) ClaimOutcome {
 	k := Claim{ID: id, Attempt: rand.Uint64()}
 	for n := 0; ctx.Err() == nil; n++ {
-		o, err := c.once(ctx, k, n)
+		o, err := c.tryClaim(ctx, k, n)
 		if err == nil && o != ClaimUnknown {
 			return o
 		}
-		common.Sleep(ctx, claimRetry)
+		common.Sleep(ctx, claimRetryDelay)
 	}
 	return ClaimUnknown
 }
 
-// once asks the shard's owner, or writes itself where the owner did not answer
+// tryClaim asks the shard's owner, or writes itself where the owner did not answer
 // before.
-func (c *Claimer) once(ctx context.Context, k Claim, n int) (ClaimOutcome, error) {
+func (c *Claimer) tryClaim(ctx context.Context, k Claim, n int) (ClaimOutcome, error) {
 	s := ShardOf(k.ID)
 	owner := common.First(shardPrefix(s), c.members.LiveNames(""))
 	m, ok := c.members.Member(owner)
-	if owner == c.self || !ok || n >= claimRemote {
+	if owner == c.self || !ok || n >= maxRemoteTries {
 		return c.local(ctx, s, k)
 	}
 	return c.remote(ctx, m, s, k)
 }
 
 func (c *Claimer) remote(ctx context.Context, m peers.Member, s uint32, k Claim) (ClaimOutcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimCall)
+	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	conn, err := c.dialer.Conn(m.Peer)
 	if err != nil {
@@ -163,8 +163,8 @@
 	defer c.mu.Unlock()
 	s, ok := c.shards[n]
 	if !ok {
-		per := rate.Limit(float64(claimWrites) / claimShards)
-		s = newShard(claimStore{c.store, n}, per, c.deps.Now, c.out, func() { c.Segments.Add(1) })
+		per := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
+		s = newShard(claimStore{c.store, n}, per, c.deps.Now, c.logger, func() { c.SegmentsWritten.Add(1) })
 		c.shards[n] = s
 		go s.run(c.ctx)
 	}
--- a/request/claimlog.go
+++ b/request/claimlog.go
@@ -7,16 +7,16 @@
 )
 
 // Times that at most once rests on. Every clock of the deployment is within
-// MaxSkew of the others.
+// MaxClockSkew of the others.
 const (
-	// MaxSkew is the largest difference between two clocks.
-	MaxSkew = 2 * time.Second
-	// IDWindow is how long after its creation an id may be run.
-	IDWindow = time.Hour + time.Minute
-	// SegmentLife is how long a process that has read a segment waits before
+	// MaxClockSkew is the largest difference between two clocks.
+	MaxClockSkew = 2 * time.Second
+	// IDLifetime is how long after its creation an id may be run.
+	IDLifetime = time.Hour + time.Minute
+	// SegmentLifetime is how long a process that has read a segment waits before
 	// it removes it. A process that last saw the end of the log less than IDWindow ago can therefore
 	// not miss a segment that was removed since.
-	SegmentLife = 2*IDWindow + 4*MaxSkew
+	SegmentLifetime = 2*IDLifetime + 4*MaxClockSkew
 )
 
 // ClaimOutcome is what became of a claim.
@@ -41,9 +41,9 @@
 	Attempt uint64
 }
 
-// BornAt returns when the id was made. It returns false for an id that does
+// CreatedAt returns when the id was made. It returns false for an id that does
 // not carry its time: only version 7 of RFC 9562 does.
-func BornAt(id uuid.UUID) (time.Time, bool) {
+func CreatedAt(id uuid.UUID) (time.Time, bool) {
 	if id.Version() != 7 || id.Variant() != uuid.RFC4122 {
 		return time.Time{}, false
 	}
@@ -54,11 +54,11 @@
 // Fresh reports whether an id may still be run: it was made no longer than
 // IDWindow ago and, but for skew, not in the future.
 func Fresh(now time.Time, id uuid.UUID) bool {
-	b, ok := BornAt(id)
+	b, ok := CreatedAt(id)
 	if !ok {
 		return false
 	}
-	return now.Before(b.Add(IDWindow)) && b.Before(now.Add(MaxSkew))
+	return now.Before(b.Add(IDLifetime)) && b.Before(now.Add(MaxClockSkew))
 }
 
 // Segment is one entry of a shard's log: claims that were committed together.
@@ -76,17 +76,17 @@
 type ClaimLog struct {
 	// last is the number of the last segment read.
 	last int64
-	// endSeenAt is when last was known to be the end of the log.
-	endSeenAt time.Time
+	// endReadAt is when last was known to be the end of the log.
+	endReadAt time.Time
 	claims    map[uuid.UUID]uint64
-	// seen holds when this process first read each segment. It is later than
+	// firstReadAt holds when this process first read each segment. It is later than
 	// the segment's creation, whatever pause there was before that.
-	seen map[int64]time.Time
+	firstReadAt map[int64]time.Time
 }
 
 // NewClaimLog returns a log of which nothing has been read.
 func NewClaimLog() *ClaimLog {
-	return &ClaimLog{claims: map[uuid.UUID]uint64{}, seen: map[int64]time.Time{}}
+	return &ClaimLog{claims: map[uuid.UUID]uint64{}, firstReadAt: map[int64]time.Time{}}
 }
 
 // Apply takes in the segment with the number, read at the time. Segments have
@@ -97,23 +97,23 @@
 			l.claims[c.ID] = c.Attempt
 		}
 	}
-	if _, ok := l.seen[n]; !ok {
-		l.seen[n] = now
+	if _, ok := l.firstReadAt[n]; !ok {
+		l.firstReadAt[n] = now
 	}
 	l.last = max(l.last, n)
 }
 
-// SawEnd notes that at the time, before which the question was sent, the last
+// ReachedEnd notes that at the time, before which the question was sent, the last
 // segment read was the end of the log.
-func (l *ClaimLog) SawEnd(at time.Time) {
-	l.endSeenAt = at
+func (l *ClaimLog) ReachedEnd(at time.Time) {
+	l.endReadAt = at
 }
 
 // Restart forgets what was read, but for when each segment was first seen, so
 // that the log can be read again from its start.
 func (l *ClaimLog) Restart() *ClaimLog {
 	n := NewClaimLog()
-	n.seen = l.seen
+	n.firstReadAt = l.firstReadAt
 	return n
 }
 
@@ -122,11 +122,11 @@
 	return l.last + 1
 }
 
-// Current reports whether the log was read to its end recently enough to rely
+// UpToDate reports whether the log was read to its end recently enough to rely
 // on. It has to be asked again after a segment was created, since the process
 // may have been paused in between.
-func (l *ClaimLog) Current(now time.Time) bool {
-	return !l.endSeenAt.IsZero() && now.Before(l.endSeenAt.Add(IDWindow-MaxSkew))
+func (l *ClaimLog) UpToDate(now time.Time) bool {
+	return !l.endReadAt.IsZero() && now.Before(l.endReadAt.Add(IDLifetime-MaxClockSkew))
 }
 
 // Decide returns the outcome of a claim as far as the log tells, and true if it
@@ -150,22 +150,22 @@
 // numbers never start again.
 func (l *ClaimLog) Trim(now time.Time) []int64 {
 	for id := range l.claims {
-		if b, ok := BornAt(id); !ok || now.After(b.Add(IDWindow+MaxSkew)) {
+		if b, ok := CreatedAt(id); !ok || now.After(b.Add(IDLifetime+MaxClockSkew)) {
 			delete(l.claims, id)
 		}
 	}
 	var old []int64
-	for n, at := range l.seen {
-		if n < l.last && now.After(at.Add(SegmentLife)) {
+	for n, at := range l.firstReadAt {
+		if n < l.last && now.After(at.Add(SegmentLifetime)) {
 			old = append(old, n)
 		}
 	}
 	return old
 }
 
-// Removed notes that a segment is gone.
-func (l *ClaimLog) Removed(n int64) {
-	delete(l.seen, n)
+// ForgetSegment notes that a segment is gone.
+func (l *ClaimLog) ForgetSegment(n int64) {
+	delete(l.firstReadAt, n)
 }
 
 // Len returns the number of ids that are held.
--- a/request/claimshard.go
+++ b/request/claimshard.go
@@ -16,15 +16,15 @@
 
 // Limits of one shard.
 const (
-	// claimBatch is the most claims of one segment.
-	claimBatch = 512
-	// claimTries is how often one batch is offered before its claims are
+	// maxBatchClaims is the most claims of one segment.
+	maxBatchClaims = 512
+	// maxBatchTries is how often one batch is offered before its claims are
 	// unknown.
-	claimTries = 12
-	// claimTimeout bounds one batch.
-	claimTimeout = 5 * time.Second
-	// trimEvery is the least time between two removals of old segments.
-	trimEvery = time.Minute
+	maxBatchTries = 12
+	// batchTimeout bounds one batch.
+	batchTimeout = 5 * time.Second
+	// trimInterval is the least time between two removals of old segments.
+	trimInterval = time.Minute
 )
 
 // pendingClaim is a claim that waits for its outcome.
@@ -38,29 +38,29 @@
 // shard commits the claims of one shard: it gathers those that arrive while a
 // write is under way and writes them with the next.
 type shard struct {
-	store   claimStore
-	log     *ClaimLog
-	limiter *rate.Limiter
-	queue   chan pendingClaim
-	now     func() time.Time
-	out     common.Log
-	trimAt  time.Time
-	// retry is the pause after a try that failed.
-	retry time.Duration
-	// commits counts the segments written.
-	commits func()
+	store    claimStore
+	log      *ClaimLog
+	limiter  *rate.Limiter
+	queue    chan pendingClaim
+	now      func() time.Time
+	logger   common.Log
+	nextTrim time.Time
+	// retryDelay is the pause after a try that failed.
+	retryDelay time.Duration
+	// onCommit counts the segments written.
+	onCommit func()
 }
 
 func newShard(s claimStore, perSecond rate.Limit, now func() time.Time, out common.Log, commits func()) *shard {
 	return &shard{
-		store:   s,
-		log:     NewClaimLog(),
-		limiter: rate.NewLimiter(perSecond, 2),
-		queue:   make(chan pendingClaim, 4*claimBatch),
-		now:     now,
-		out:     out,
-		retry:   claimRetry,
-		commits: commits,
+		store:      s,
+		log:        NewClaimLog(),
+		limiter:    rate.NewLimiter(perSecond, 2),
+		queue:      make(chan pendingClaim, 4*maxBatchClaims),
+		now:        now,
+		logger:     out,
+		retryDelay: claimRetryDelay,
+		onCommit:   commits,
 	}
 }
 
@@ -87,10 +87,10 @@
 		l = append(l, p)
 	}
 	if s.limiter.Wait(ctx) != nil {
-		finish(l, ClaimUnknown)
+		answerAll(l, ClaimUnknown)
 		return nil
 	}
-	for len(l) < claimBatch {
+	for len(l) < maxBatchClaims {
 		select {
 		case p := <-s.queue:
 			l = append(l, p)
@@ -103,29 +103,29 @@
 
 // commit settles the batch, or leaves its claims unknown.
 func (s *shard) commit(ctx context.Context, l []pendingClaim) {
-	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
-	for range claimTries {
-		l = s.settle(l)
+	for range maxBatchTries {
+		l = s.answerDecided(l)
 		if len(l) == 0 {
 			return
 		}
-		err := s.try(ctx, l)
+		err := s.writeSegment(ctx, l)
 		if ctx.Err() != nil {
 			break
 		}
 		if err != nil {
-			s.out.Warnf("shard %d not committed: %v", s.store.shard, err)
-			common.Sleep(ctx, s.retry)
+			s.logger.Warnf("shard %d not committed: %v", s.store.shard, err)
+			common.Sleep(ctx, s.retryDelay)
 		}
 	}
-	finish(l, ClaimUnknown)
+	answerAll(l, ClaimUnknown)
 }
 
-// settle answers the claims that the log decides, drops those that nobody waits
+// answerDecided answers the claims that the log decides, drops those that nobody waits
 // for, as their ids are to be free for the caller who comes back, and returns
 // the others.
-func (s *shard) settle(l []pendingClaim) []pendingClaim {
+func (s *shard) answerDecided(l []pendingClaim) []pendingClaim {
 	var open []pendingClaim
 	now := s.now()
 	for _, p := range l {
@@ -139,9 +139,9 @@
 	return open
 }
 
-// try brings the log up to date and writes the claims as its next segment.
-func (s *shard) try(ctx context.Context, l []pendingClaim) error {
-	if !s.log.Current(s.now()) {
+// writeSegment brings the log up to date and writes the claims as its next segment.
+func (s *shard) writeSegment(ctx context.Context, l []pendingClaim) error {
+	if !s.log.UpToDate(s.now()) {
 		return s.reload(ctx)
 	}
 	n := s.log.Next()
@@ -153,20 +153,20 @@
 	if err != nil {
 		return s.readBack(ctx, n, g, err)
 	}
-	s.took(n, g)
+	s.applyOwn(n, g)
 	return nil
 }
 
-// took notes that the process's own segment is the end of the log, unless the
+// applyOwn notes that the process's own segment is the end of the log, unless the
 // process was paused so long that the segment before it may have been removed.
-func (s *shard) took(n int64, g Segment) {
-	if !s.log.Current(s.now()) {
+func (s *shard) applyOwn(n int64, g Segment) {
+	if !s.log.UpToDate(s.now()) {
 		s.log = s.log.Restart()
 		return
 	}
-	s.commits()
+	s.onCommit()
 	s.log.Apply(s.now(), n, g)
-	s.log.SawEnd(g.Committed)
+	s.log.ReachedEnd(g.Committed)
 }
 
 // readBack learns what stands at the number after a write that failed or
@@ -185,7 +185,7 @@
 		return cause
 	}
 	if found.Write == g.Write {
-		s.took(n, g)
+		s.applyOwn(n, g)
 		return nil
 	}
 	s.log.Apply(s.now(), n, found)
@@ -215,7 +215,7 @@
 	for _, n := range slices.Sorted(maps.Keys(m)) {
 		s.log.Apply(s.now(), n, m[n])
 	}
-	s.log.SawEnd(at)
+	s.log.ReachedEnd(at)
 	s.log.Trim(at)
 	return nil
 }
@@ -223,10 +223,10 @@
 // trim removes old segments.
 func (s *shard) trim(ctx context.Context) {
 	now := s.now()
-	if now.Before(s.trimAt) {
+	if now.Before(s.nextTrim) {
 		return
 	}
-	s.trimAt = now.Add(trimEvery)
+	s.nextTrim = now.Add(trimInterval)
 	old := s.log.Trim(now)
 	if len(old) == 0 {
 		return
@@ -236,15 +236,15 @@
 		to = max(to, n+1)
 	}
 	if err := s.store.remove(ctx, to); err != nil {
-		s.out.Warnf("old segments of shard %d not removed: %v", s.store.shard, err)
+		s.logger.Warnf("old segments of shard %d not removed: %v", s.store.shard, err)
 		return
 	}
 	for _, n := range old {
-		s.log.Removed(n)
+		s.log.ForgetSegment(n)
 	}
 }
 
-func finish(l []pendingClaim, o ClaimOutcome) {
+func answerAll(l []pendingClaim, o ClaimOutcome) {
 	for _, p := range l {
 		p.done <- o
 	}
--- a/request/dispatcher.go
+++ b/request/dispatcher.go
@@ -27,20 +27,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.scheduler)
-	d.pumpAll()
+	d.startReady()
 }
 
-// Pump starts what can start because time has passed: a target that was set
+// StartReady starts what can start because time has passed: a target that was set
 // aside is due to be probed.
-func (d *Dispatcher) Pump() {
+func (d *Dispatcher) StartReady() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pumpAll()
+	d.startReady()
 }
 
-func (d *Dispatcher) pumpAll() {
+func (d *Dispatcher) startReady() {
 	for _, p := range d.scheduler.poolNames() {
-		d.pump(p)
+		d.startReadyIn(p)
 	}
 }
 
@@ -53,12 +53,12 @@
 	}
 	c := make(chan struct{})
 	d.waiting[i] = c
-	d.pump(d.scheduler.PoolOf(i.Service))
+	d.startReadyIn(d.scheduler.PoolOf(i.Service))
 	return c, nil
 }
 
-// pump starts all that can start in the pool. The caller holds mu.
-func (d *Dispatcher) pump(pool string) {
+// startReadyIn starts all that can start in the pool. The caller holds mu.
+func (d *Dispatcher) startReadyIn(pool string) {
 	now := d.now()
 	for {
 		s, ok := d.scheduler.Next(now, pool)
@@ -73,7 +73,7 @@
 // Wait waits until the item starts. It returns the refusal once the answer
 // cannot be there by the deadline any more, or the context's error.
 func (d *Dispatcher) Wait(ctx context.Context, i *Item, started <-chan struct{}) (*Refusal, error) {
-	t := time.NewTimer(d.giveUpAt(i).Sub(d.now()))
+	t := time.NewTimer(d.latestStart(i).Sub(d.now()))
 	defer t.Stop()
 	select {
 	case <-started:
@@ -91,10 +91,10 @@
 	return nil, nil
 }
 
-func (d *Dispatcher) giveUpAt(i *Item) time.Time {
+func (d *Dispatcher) latestStart(i *Item) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.GiveUpAt(i)
+	return d.scheduler.LatestStart(i)
 }
 
 // Cancel takes a waiting item out. It returns false for one that has started.
@@ -113,15 +113,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.scheduler.Done(d.now(), i, o)
-	d.pump(d.scheduler.PoolOf(i.Service))
+	d.startReadyIn(d.scheduler.PoolOf(i.Service))
 }
 
-// Settle takes in the outcome of an attempt whose target may run on. The slot
+// RecordOutcome takes in the outcome of an attempt whose target may run on. The slot
 // stays taken until Release.
-func (d *Dispatcher) Settle(i *Item, o Outcome) {
+func (d *Dispatcher) RecordOutcome(i *Item, o Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.scheduler.Settle(d.now(), i, o)
+	d.scheduler.RecordOutcome(d.now(), i, o)
 }
 
 // Release frees the slot of an item that was settled, and starts what can start
@@ -130,7 +130,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.scheduler.Release(i)
-	d.pump(d.scheduler.PoolOf(i.Service))
+	d.startReadyIn(d.scheduler.PoolOf(i.Service))
 }
 
 // Drop ends an item that will not run, whether it waits or has started.
@@ -140,14 +140,14 @@
 	}
 }
 
-// Left ends an item that was not sent because its target has left, and gives the
+// TargetRemoved ends an item that was not sent because its target has left, and gives the
 // target no more work until it is named again: it would be the cheapest. Whether
 // it has left is asked once more under the lock: a view by which it is back may
 // have been handed on meanwhile, and no other may follow for long.
-func (d *Dispatcher) Left(i *Item, left func() bool) {
+func (d *Dispatcher) TargetRemoved(i *Item, left func() bool) {
 	d.Update(func(s *Scheduler) {
 		if left() {
-			s.Leave(i.Target)
+			s.RemoveTarget(i.Target)
 		}
 		s.Done(d.now(), i, Outcome{Cancelled: true})
 	})
@@ -168,8 +168,8 @@
 	return d.scheduler.Dump()
 }
 
-// classOf returns the class of a job, which the caller may only make more
+// effectiveClass returns the class of a job, which the caller may only make more
 // patient.
-func classOf(job, asked common.Class) common.Class {
+func effectiveClass(job, asked common.Class) common.Class {
 	return max(job, asked)
 }
