--- a/request/dump.go
+++ b/request/dump.go
@@ -17,13 +17,13 @@
 
 // TargetDump is one target as this process sees it.
 type TargetDump struct {
-	Name       string    `json:"name"`
-	Pool       string    `json:"pool"`
-	Slots      int       `json:"slots"`
-	Busy       int       `json:"busy"`
-	RunSeconds float64   `json:"run_seconds"`
-	Success    float64   `json:"success_share"`
-	AsideUntil time.Time `json:"aside_until,omitzero"`
+	Name             string    `json:"name"`
+	Pool             string    `json:"pool"`
+	Slots            int       `json:"slots"`
+	Busy             int       `json:"busy"`
+	RunSeconds       float64   `json:"run_seconds"`
+	Success          float64   `json:"success_share"`
+	QuarantinedUntil time.Time `json:"aside_until,omitzero"`
 }
 
 // ServiceDump is one service's queues.
@@ -39,9 +39,9 @@
 	Service    string  `json:"service"`
 	Job        string  `json:"job"`
 	RunSeconds float64 `json:"run_seconds"`
-	// Hopeless says that it failed on several targets without one success in
+	// FailsEverywhere says that it failed on several targets without one success in
 	// between.
-	Hopeless bool `json:"hopeless"`
+	FailsEverywhere bool `json:"hopeless"`
 }
 
 // Dump returns the state of the scheduler.
@@ -50,7 +50,7 @@
 	for _, t := range s.targets {
 		d.Targets = append(d.Targets, TargetDump{
 			Name: t.Name, Pool: t.Pool, Slots: t.Slots, Busy: t.busy,
-			RunSeconds: t.run.value.Seconds(), Success: t.ok.value, AsideUntil: t.asideUntil,
+			RunSeconds: t.run.value.Seconds(), Success: t.success.value, QuarantinedUntil: t.quarantinedUntil,
 		})
 	}
 	for _, v := range s.services {
@@ -62,7 +62,7 @@
 	}
 	for k, j := range s.jobs {
 		d.Jobs = append(d.Jobs, JobDump{
-			Service: k.service, Job: k.job, RunSeconds: j.run.value.Seconds(), Hopeless: j.hopeless(),
+			Service: k.service, Job: k.job, RunSeconds: j.run.value.Seconds(), FailsEverywhere: j.failsEverywhere(),
 		})
 	}
 	slices.SortFunc(d.Targets, func(a, b TargetDump) int { return cmp.Compare(a.Name, b.Name) })
--- a/request/estimate.go
+++ b/request/estimate.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// gain is the weight of the newest sample in a decayed mean.
-const gain = 0.1
+// ewmaWeight is the weight of the newest sample in a decayed mean.
+const ewmaWeight = 0.1
 
-// mean is a decayed mean of durations that starts from a declared value. The
+// ewma is a decayed mean of durations that starts from a declared value. The
 // declared value counts as one sample.
-type mean struct {
+type ewma struct {
 	value time.Duration
-	// spread is the decayed mean distance from value.
-	spread time.Duration
-	known  bool
+	// deviation is the decayed mean distance from value.
+	deviation time.Duration
+	sampled   bool
 }
 
 // add takes in one sample.
-func (m *mean) add(d time.Duration) {
-	if !m.known {
+func (m *ewma) add(d time.Duration) {
+	if !m.sampled {
 		m.value = (m.value + d) / 2
-		m.spread = m.value / 2
-		m.known = true
+		m.deviation = m.value / 2
+		m.sampled = true
 		return
 	}
-	m.spread += time.Duration(gain * float64((d-m.value).Abs()-m.spread))
-	m.value += time.Duration(gain * float64(d-m.value))
+	m.deviation += time.Duration(ewmaWeight * float64((d-m.value).Abs()-m.deviation))
+	m.value += time.Duration(ewmaWeight * float64(d-m.value))
 }
 
-// spreads is how many spreads above the mean a run is taken to last where it
+// boundDeviations is how many spreads above the mean a run is taken to last where it
 // has to end in time.
-const spreads = 2
+const boundDeviations = 2
 
-// most is how long a run may well last.
-func (m *mean) most() time.Duration {
-	return m.value + spreads*m.spread
+// upperBound is how long a run may well last.
+func (m *ewma) upperBound() time.Duration {
+	return m.value + boundDeviations*m.deviation
 }
 
-// share is a decayed share of successes. It starts at one.
-type share struct {
+// successRate is a decayed share of successes. It starts at one.
+type successRate struct {
 	value   float64
 	samples int
 }
 
-func newShare() share {
-	return share{value: 1}
+func newSuccessRate() successRate {
+	return successRate{value: 1}
 }
 
 // add takes in one outcome.
-func (s *share) add(ok bool) {
+func (s *successRate) add(ok bool) {
 	v := 0.0
 	if ok {
 		v = 1
 	}
 	s.samples++
-	g := max(gain, 1/float64(s.samples+1))
+	g := max(ewmaWeight, 1/float64(s.samples+1))
 	s.value += g * (v - s.value)
 }
--- a/request/example_test.go
+++ b/request/example_test.go
@@ -13,7 +13,7 @@
 	s := request.NewScheduler(request.DefaultPolicy(), rand.New(rand.NewPCG(1, 2)))
 	s.SetServices([]request.ServiceSpec{{Name: "tint", Pool: "tint", Weight: 1}})
 	s.SetTargets([]request.TargetSpec{{Name: "w1", Pool: "tint", Slots: 1}})
-	s.Declare("tint", "formula", 200*time.Millisecond)
+	s.DeclareRunTime("tint", "formula", 200*time.Millisecond)
 	now := time.Unix(1e9, 0)
 
 	first := &request.Item{Service: "tint", Job: "formula", Class: common.Quick, Deadline: now.Add(time.Second)}
--- a/request/forward.go
+++ b/request/forward.go
@@ -19,34 +19,34 @@
 	dialTimeout = time.Second
 	// idleTimeout closes a connection that nothing uses.
 	idleTimeout = 30 * time.Second
-	// runOut is how long after its caller's end a run may hold its slot: a tenth
+	// detachedRunTimeout is how long after its caller's end a run may hold its slot: a tenth
 	// of the five minutes of a reboot, which a run that hangs holds back.
-	runOut = 30 * time.Second
-	// wholeBelow is the size in bytes up to which an answer is read to its
+	detachedRunTimeout = 30 * time.Second
+	// maxBufferedAnswer is the size in bytes up to which an answer is read to its
 	// end before any of it is passed on.
-	wholeBelow = 64 << 10
+	maxBufferedAnswer = 64 << 10
 )
 
 // Call is one request on its way to a target.
 type Call struct {
-	ID     string
-	Once   bool
-	Method string
+	ID         string
+	AtMostOnce bool
+	Method     string
 	// Path is the path and query for the target.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// RunsOn says that a target which has got the request runs it to its end,
+	// RunsToCompletion says that a target which has got the request runs it to its end,
 	// whoever waits for it: the end is waited for after the caller's.
-	RunsOn bool
+	RunsToCompletion bool
 }
 
 // Reply is the start of a target's answer. Rest is nil where Head is all of it.
 type Reply struct {
-	Status int
-	Header http.Header
-	Head   []byte
-	Rest   io.ReadCloser
+	Status   int
+	Header   http.Header
+	Buffered []byte
+	Rest     io.ReadCloser
 }
 
 // AttemptError is an attempt without an answer.
@@ -54,8 +54,8 @@
 	// Sent says that the target may have got some of the request.
 	Sent  bool
 	Cause error
-	// Over closes once the target has ended the run, where it may run on.
-	Over <-chan struct{}
+	// Done closes once the target has ended the run, where it may run on.
+	Done <-chan struct{}
 }
 
 // Error returns the cause and whether anything was sent.
@@ -74,10 +74,10 @@
 // Forwarder runs requests on targets over HTTP/1.1.
 type Forwarder struct {
 	conns  *common.Connections
-	shared *http.Transport
-	// single opens a connection for each request: net/http sends a request a
+	pooled *http.Transport
+	// unpooled opens a connection for each request: net/http sends a request a
 	// second time only on a connection that it has used before.
-	single *http.Transport
+	unpooled *http.Transport
 }
 
 // NewForwarder returns a forwarder with at most so many idle connections to
@@ -92,7 +92,7 @@
 	}
 	s := t.Clone()
 	s.DisableKeepAlives = true
-	return &Forwarder{conns: o, shared: t, single: s}
+	return &Forwarder{conns: o, pooled: t, unpooled: s}
 }
 
 // Run sends the call to the target once and reads the start of its answer. The
@@ -105,26 +105,26 @@
 		cancel()
 		return nil, &AttemptError{Cause: err}
 	}
-	go t.run(f.transport(c), req, c.ID)
+	go t.send(f.transport(c), req, c.ID)
 	select {
-	case <-t.over:
-		return t.outcome(ctx)
+	case <-t.done:
+		return t.result(ctx)
 	case <-ctx.Done():
 	}
-	t.doubt(ctx)
-	if !c.RunsOn || t.giveUp() {
+	t.distrustConn(ctx)
+	if !c.RunsToCompletion || t.abandon() {
 		cancel()
-		<-t.over
-		return t.outcome(ctx)
+		<-t.done
+		return t.result(ctx)
 	}
-	return nil, t.leave(ctx)
+	return nil, t.detach(ctx)
 }
 
 func (f *Forwarder) transport(c Call) *http.Transport {
-	if c.Once {
-		return f.single
+	if c.AtMostOnce {
+		return f.unpooled
 	}
-	return f.shared
+	return f.pooled
 }
 
 // request returns the request that the attempt sends.
@@ -138,21 +138,21 @@
 	copyHeader(req.Header, c.Header)
 	req.Header.Set(common.HeaderID, c.ID)
 	req.ContentLength = int64(len(c.Body))
-	req.Body = t.bodyOf(c.Body)
-	req.GetBody = func() (io.ReadCloser, error) { return t.bodyOf(c.Body), nil }
+	req.Body = t.newBody(c.Body)
+	req.GetBody = func() (io.ReadCloser, error) { return t.newBody(c.Body), nil }
 	return req, nil
 }
 
-// readHead reads up to wholeBelow bytes of the answer, so that most answers are
+// bufferAnswer reads up to wholeBelow bytes of the answer, so that most answers are
 // known to be whole before they are passed on.
-func readHead(res *http.Response) (*Reply, error) {
+func bufferAnswer(res *http.Response) (*Reply, error) {
 	r := &Reply{Status: res.StatusCode, Header: res.Header}
-	b, err := io.ReadAll(io.LimitReader(res.Body, wholeBelow))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedAnswer))
 	if err != nil {
 		return nil, err
 	}
-	r.Head = b
-	if len(b) == wholeBelow {
+	r.Buffered = b
+	if len(b) == maxBufferedAnswer {
 		r.Rest = res.Body
 		return r, nil
 	}
--- a/request/health.go
+++ b/request/health.go
@@ -7,82 +7,82 @@
 
 // Rules by which a target is set aside.
 const (
-	// asideBelow is the share of successes below which a target is set aside.
-	asideBelow = 0.4
-	// asideSamples is the least number of outcomes to judge by.
-	asideSamples = 3
-	// asideFirst is how long a target stays aside at first; it doubles.
-	asideFirst = time.Second
-	// asideLongest bounds it.
-	asideLongest = 30 * time.Second
-	// asideShare is the largest part of a pool that may be aside at once.
-	asideShare = 0.5
-	// jobTargets is on how many targets a job has to fail, with no success in
+	// minSuccessRate is the share of successes below which a target is set aside.
+	minSuccessRate = 0.4
+	// minQuarantineSamples is the least number of outcomes to judge by.
+	minQuarantineSamples = 3
+	// baseQuarantine is how long a target stays aside at first; it doubles.
+	baseQuarantine = time.Second
+	// maxQuarantine bounds it.
+	maxQuarantine = 30 * time.Second
+	// maxQuarantinedShare is the largest part of a pool that may be aside at once.
+	maxQuarantinedShare = 0.5
+	// failsEverywhereTargets is on how many targets a job has to fail, with no success in
 	// between, to be taken for one that can never run.
-	jobTargets = 3
+	failsEverywhereTargets = 3
 )
 
 // health is what is learned about one target's failures.
 type health struct {
-	ok      share
+	success successRate
 	backoff time.Duration
-	// asideUntil is when the target is probed again; zero while in use.
-	asideUntil time.Time
+	// quarantinedUntil is when the target is probed again; zero while in use.
+	quarantinedUntil time.Time
 }
 
 // jobHealth is what is learned about one job over all targets.
 type jobHealth struct {
-	run mean
-	// failed are the targets on which it failed since its last success.
-	failed []string
+	run ewma
+	// failedOn are the targets on which it failed since its last success.
+	failedOn []string
 	// succeeded says that it ran at least once.
 	succeeded bool
 }
 
-// note takes in one outcome of the job.
-func (j *jobHealth) note(target string, ok bool) {
+// record takes in one outcome of the job.
+func (j *jobHealth) record(target string, ok bool) {
 	if ok {
 		j.succeeded = true
-		j.failed = j.failed[:0]
+		j.failedOn = j.failedOn[:0]
 		return
 	}
-	if !slices.Contains(j.failed, target) && len(j.failed) < jobTargets {
-		j.failed = append(j.failed, target)
+	if !slices.Contains(j.failedOn, target) && len(j.failedOn) < failsEverywhereTargets {
+		j.failedOn = append(j.failedOn, target)
 	}
 }
 
-// hopeless reports whether the job fails wherever it runs, so that a failure
+// failsEverywhere reports whether the job fails wherever it runs, so that a failure
 // says nothing about the target.
-func (j *jobHealth) hopeless() bool {
-	return len(j.failed) >= jobTargets
+func (j *jobHealth) failsEverywhere() bool {
+	return len(j.failedOn) >= failsEverywhereTargets
 }
 
-// note takes in one outcome that speaks about the target. It reports whether
+// record takes in one outcome that speaks about the target. It reports whether
 // the target should be set aside.
-func (h *health) note(now time.Time, ok bool) bool {
-	h.ok.add(ok)
-	if ok || h.ok.samples < asideSamples || h.ok.value >= asideBelow {
+func (h *health) record(now time.Time, ok bool) bool {
+	h.success.add(ok)
+	if ok || h.success.samples < minQuarantineSamples || h.success.value >= minSuccessRate {
 		return false
 	}
-	h.backoff = asideFirst
-	h.asideUntil = now.Add(h.backoff)
+	h.backoff = baseQuarantine
+	h.quarantinedUntil = now.Add(h.backoff)
 	return true
 }
 
-// probed ends a probe: one success brings the target back, a failure doubles
+// endProbe ends a probe: one success brings the target back, a failure doubles
 // its time aside. It reports whether the target stays aside.
-func (h *health) probed(now time.Time, ok bool) bool {
+func (h *health) endProbe(now time.Time, ok bool) bool {
 	if ok {
-		h.ok = newShare()
-		h.asideUntil = time.Time{}
+		h.success = newSuccessRate()
+		h.quarantinedUntil = time.Time{}
 		return false
 	}
-	h.backoff = min(2*h.backoff, asideLongest)
-	h.asideUntil = now.Add(h.backoff)
+	h.backoff = min(2*h.backoff, maxQuarantine)
+	h.quarantinedUntil = now.Add(h.backoff)
 	return true
 }
 
-// aside reports whether the target gets nothing but probes.
-func (h *health) aside() bool {
-	return !h.asideUntil.IsZero()
+// quarantined reports whether the target gets nothing but probes.
+func (h *health) quarantined() bool {
+	return !h.quarantinedUntil.IsZero()
 }
--- a/request/intake.go
+++ b/request/intake.go
@@ -17,50 +17,50 @@
 // MaxBody is the largest body of a request, in bytes.
 const MaxBody = 8 << 20
 
-// intake is one request as it was accepted, and what is known of it since.
-type intake struct {
-	service  config.Service
-	job      config.Job
-	class    common.Class
-	once     bool
-	id       uuid.UUID
-	deadline time.Time
-	call     Call
+// acceptedRequest is one request as it was accepted, and what is known of it since.
+type acceptedRequest struct {
+	service    config.Service
+	job        config.Job
+	class      common.Class
+	atMostOnce bool
+	id         uuid.UUID
+	deadline   time.Time
+	call       Call
 	// issued is set where only the process that issued the id may run it.
 	issued *IssuedID
-	// keyed says that the caller gave the id, so that copies of the request
+	// hasKey says that the caller gave the id, so that copies of the request
 	// may be about.
-	keyed bool
-	// hop says that another data centre passed the request on.
-	hop bool
+	hasKey bool
+	// forwarded says that another data centre passed the request on.
+	forwarded bool
 	// claimed says that this process, and no other, may run the request.
 	claimed bool
 	// sent says that a target may have got some of the request.
 	sent bool
 }
 
-// refused returns the verdict of an answer that gives the request up. Only a
+// refusalVerdict returns the verdict of an answer that gives the request up. Only a
 // request that can have no copy, or whose copies cannot run any more, is known
 // not to have run.
-func (q *intake) refused() common.Verdict {
-	if q.sent || (q.keyed && !q.claimed) {
+func (q *acceptedRequest) refusalVerdict() common.Verdict {
+	if q.sent || (q.hasKey && !q.claimed) {
 		return common.MayHaveRun
 	}
 	return common.NotRun
 }
 
 // problem returns a problem with the verdict that the intake warrants.
-func (q *intake) problem(status int, title, detail string, retry time.Time) *common.ProblemError {
+func (q *acceptedRequest) problem(status int, title, detail string, retry time.Time) *common.ProblemError {
 	return &common.ProblemError{
-		Type: "about:blank", Title: title, Status: status, Detail: detail, Verdict: q.refused(), RetryAt: retry,
+		Type: "about:blank", Title: title, Status: status, Detail: detail, Verdict: q.refusalVerdict(), RetryAt: retry,
 	}
 }
 
 // accept reads a request and checks it against the configuration.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*intake, *common.ProblemError) {
-	q := &intake{keyed: r.Header.Get(common.HeaderKey) != ""}
-	for _, f := range []func(*http.Request, *intake) *common.ProblemError{
-		s.acceptHop, s.acceptJob, s.acceptClass, s.acceptRepeat, s.acceptDeadline,
+func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*acceptedRequest, *common.ProblemError) {
+	q := &acceptedRequest{hasKey: r.Header.Get(common.HeaderKey) != ""}
+	for _, f := range []func(*http.Request, *acceptedRequest) *common.ProblemError{
+		s.acceptHop, s.acceptJob, s.acceptClass, s.acceptID, s.acceptDeadline,
 	} {
 		if p := f(r, q); p != nil {
 			return nil, p
@@ -70,7 +70,7 @@
 	if p != nil {
 		return nil, p
 	}
-	q.call = Call{ID: q.id.String(), Once: q.once, Method: r.Method, Path: r.URL.RequestURI(), Header: targetHeader(r), Body: b}
+	q.call = Call{ID: q.id.String(), AtMostOnce: q.atMostOnce, Method: r.Method, Path: r.URL.RequestURI(), Header: targetHeader(r), Body: b}
 	return q, nil
 }
 
@@ -84,20 +84,20 @@
 	return h
 }
 
-func (s *Server) acceptHop(r *http.Request, q *intake) *common.ProblemError {
+func (s *Server) acceptHop(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	v := r.Header.Get(common.HeaderHop)
 	if v == "" {
 		return nil
 	}
-	if !s.hopToken(v) {
+	if !s.isHopToken(v) {
 		return q.problem(http.StatusForbidden, "wrong hop token", "", time.Time{})
 	}
-	q.hop = true
+	q.forwarded = true
 	return nil
 }
 
 // acceptJob finds the service and the job, the first two parts of the path.
-func (s *Server) acceptJob(r *http.Request, q *intake) *common.ProblemError {
+func (s *Server) acceptJob(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	p := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(p) < 2 {
 		return q.problem(http.StatusNotFound, "no such job", "the path begins with /{service}/{job}", time.Time{})
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (s *Server) acceptClass(r *http.Request, q *intake) *common.ProblemError {
+func (s *Server) acceptClass(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	q.class = q.job.Class
 	v := r.Header.Get(common.HeaderClass)
 	if v == "" {
@@ -126,33 +126,33 @@
 	if err != nil {
 		return q.problem(http.StatusBadRequest, "bad "+common.HeaderClass, err.Error(), time.Time{})
 	}
-	q.class = classOf(q.job.Class, c)
+	q.class = effectiveClass(q.job.Class, c)
 	return nil
 }
 
-// acceptRepeat finds the id and whether the request may be repeated. A caller
+// acceptID finds the id and whether the request may be repeated. A caller
 // may only ask for more care than the job's declaration.
-func (s *Server) acceptRepeat(r *http.Request, q *intake) *common.ProblemError {
-	q.once = !q.job.Repeatable
+func (s *Server) acceptID(r *http.Request, q *acceptedRequest) *common.ProblemError {
+	q.atMostOnce = !q.job.Repeatable
 	switch v := r.Header.Get(common.HeaderRepeatable); v {
 	case "", "true":
 	case "false":
-		q.once = true
+		q.atMostOnce = true
 	default:
 		return q.problem(http.StatusBadRequest, "bad "+common.HeaderRepeatable, fmt.Sprintf("%q is neither true nor false", v), time.Time{})
 	}
-	if !q.once && !q.keyed {
+	if !q.atMostOnce && !q.hasKey {
 		q.id = s.newID(r, q)
 		return nil
 	}
 	key := strings.Trim(r.Header.Get(common.HeaderKey), `"`)
-	if v, ok := ParseIssued(key); ok && q.once {
+	if v, ok := ParseIssued(key); ok && q.atMostOnce {
 		q.issued = &v
 		q.id = v.ID
 		return nil
 	}
 	id, err := uuid.Parse(key)
-	if q.once && (err != nil || id.Version() != 7) {
+	if q.atMostOnce && (err != nil || id.Version() != 7) {
 		return q.problem(http.StatusBadRequest, "bad "+common.HeaderKey,
 			"a request that may not be repeated needs an issued id or a UUID of version 7 (RFC 9562)", time.Time{})
 	}
@@ -165,15 +165,15 @@
 
 // newID makes the id of a request that has none, or takes the one that another
 // data centre made.
-func (s *Server) newID(r *http.Request, q *intake) uuid.UUID {
-	if id, err := uuid.Parse(r.Header.Get(common.HeaderID)); q.hop && err == nil {
+func (s *Server) newID(r *http.Request, q *acceptedRequest) uuid.UUID {
+	if id, err := uuid.Parse(r.Header.Get(common.HeaderID)); q.forwarded && err == nil {
 		return id
 	}
 	return uuid.Must(uuid.NewV7())
 }
 
 // acceptDeadline finds the point in time by which the answer has to be there.
-func (s *Server) acceptDeadline(r *http.Request, q *intake) *common.ProblemError {
+func (s *Server) acceptDeadline(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
 	q.deadline = now.Add(q.job.Patience)
 	if v := r.Header.Get(common.HeaderDeadline); v != "" {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, q *intake) ([]byte, *common.ProblemError) {
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, q *acceptedRequest) ([]byte, *common.ProblemError) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
--- a/request/issued.go
+++ b/request/issued.go
@@ -20,18 +20,18 @@
 	ID          uuid.UUID
 }
 
-// issuedMark begins every issued id, and tells it from a plain UUID.
-const issuedMark = "issued"
+// issuedPrefix begins every issued id, and tells it from a plain UUID.
+const issuedPrefix = "issued"
 
 // String returns the id as callers send it.
 func (i IssuedID) String() string {
-	return fmt.Sprintf("%s:%s:%d:%s", issuedMark, i.Name, i.Incarnation, i.ID)
+	return fmt.Sprintf("%s:%s:%d:%s", issuedPrefix, i.Name, i.Incarnation, i.ID)
 }
 
 // ParseIssued reads an issued id. It returns false for anything else.
 func ParseIssued(s string) (IssuedID, bool) {
 	p := strings.Split(s, ":")
-	if len(p) != 4 || p[0] != issuedMark {
+	if len(p) != 4 || p[0] != issuedPrefix {
 		return IssuedID{}, false
 	}
 	n, err := strconv.ParseUint(p[2], 10, 64)
@@ -52,7 +52,7 @@
 	incarnation uint64
 	mu          sync.Mutex
 	claimed     map[uuid.UUID]bool
-	sweepAt     time.Time
+	nextSweep   time.Time
 }
 
 // NewIssuer returns the issuer of one start of a process.
@@ -89,12 +89,12 @@
 
 // sweep forgets ids that are too old to be claimed. The caller holds mu.
 func (i *Issuer) sweep(now time.Time) {
-	if now.Before(i.sweepAt) {
+	if now.Before(i.nextSweep) {
 		return
 	}
-	i.sweepAt = now.Add(trimEvery)
+	i.nextSweep = now.Add(trimInterval)
 	for id := range i.claimed {
-		if b, _ := BornAt(id); now.After(b.Add(IDWindow + MaxSkew)) {
+		if b, _ := CreatedAt(id); now.After(b.Add(IDLifetime + MaxClockSkew)) {
 			delete(i.claimed, id)
 		}
 	}
--- a/request/item.go
+++ b/request/item.go
@@ -16,21 +16,21 @@
 	// Target is where the item runs or ran last; empty before its first start.
 	Target string
 
-	estimate time.Duration
-	slot     *common.Slot[*Item]
-	target   *target
-	pool     *pool
-	queue    *queue
-	started  time.Time
+	estimate  time.Duration
+	heapEntry *common.HeapEntry[*Item]
+	target    *target
+	pool      *pool
+	queue     *queue
+	startedAt time.Time
 	// probe says that the attempt tries whether its target is back.
 	probe bool
-	// settled says that the outcome of the attempt is known.
-	settled bool
+	// outcomeRecorded says that the outcome of the attempt is known.
+	outcomeRecorded bool
 }
 
-// UnitOf names what the scheduler queues the job's requests under: the service,
+// QueueName names what the scheduler queues the job's requests under: the service,
 // or the job itself where it has targets of its own.
-func UnitOf(s config.Service, j config.Job) string {
+func QueueName(s config.Service, j config.Job) string {
 	if j.Replicas > 0 {
 		return s.Name + "/" + j.Name
 	}
--- a/request/metrics.go
+++ b/request/metrics.go
@@ -32,14 +32,14 @@
 	return &Metrics{requests: c, seconds: h}, nil
 }
 
-// ended counts one request with its verdict.
-func (m *Metrics) ended(c common.Class, v common.Verdict) {
+// countVerdict counts one request with its verdict.
+func (m *Metrics) countVerdict(c common.Class, v common.Verdict) {
 	m.requests.Add(context.Background(), 1, metric.WithAttributes(
 		attribute.String("class", c.String()), attribute.String("verdict", v.String())))
 }
 
-// answered counts one request that a target answered, and its time.
-func (m *Metrics) answered(c common.Class, v common.Verdict, d time.Duration) {
-	m.ended(c, v)
+// recordAnswer counts one request that a target answered, and its time.
+func (m *Metrics) recordAnswer(c common.Class, v common.Verdict, d time.Duration) {
+	m.countVerdict(c, v)
 	m.seconds.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("class", c.String())))
 }
--- a/request/outcome.go
+++ b/request/outcome.go
@@ -15,21 +15,21 @@
 
 // Done ends the item's attempt on its target and frees the slot.
 func (s *Scheduler) Done(now time.Time, i *Item, o Outcome) {
-	s.Settle(now, i, o)
+	s.RecordOutcome(now, i, o)
 	s.Release(i)
 }
 
-// Settle takes in the outcome of an attempt whose target may run on, so that
+// RecordOutcome takes in the outcome of an attempt whose target may run on, so that
 // the slot stays taken until Release. Only the first outcome counts.
-func (s *Scheduler) Settle(now time.Time, i *Item, o Outcome) {
+func (s *Scheduler) RecordOutcome(now time.Time, i *Item, o Outcome) {
 	t := i.target
-	if t == nil || i.settled {
+	if t == nil || i.outcomeRecorded {
 		return
 	}
-	i.settled = true
-	if !t.gone {
-		s.learn(now, i.pool, t, i, o)
-		i.pool.place(t)
+	i.outcomeRecorded = true
+	if !t.removed {
+		s.updateHealth(now, i.pool, t, i, o)
+		i.pool.updateFree(t)
 	}
 }
 
@@ -43,50 +43,50 @@
 	i.target = nil
 	i.pool = nil
 	p.busy[i.Class]--
-	s.leave(t.Name)
+	s.countRunEnd(t.Name)
 	// The target may have left and come back since.
 	if cur, ok := s.targets[t.Name]; ok {
 		cur.busy = s.inFlight[t.Name]
-		s.pool(cur.Pool).place(cur)
+		s.pool(cur.Pool).updateFree(cur)
 	}
 }
 
-// leave counts one run less on the host.
-func (s *Scheduler) leave(host string) {
+// countRunEnd counts one run less on the host.
+func (s *Scheduler) countRunEnd(host string) {
 	s.inFlight[host]--
 	if s.inFlight[host] == 0 {
 		delete(s.inFlight, host)
 	}
 }
 
-// learn takes the outcome into what is known of the target and of the job.
-func (s *Scheduler) learn(now time.Time, p *pool, t *target, i *Item, o Outcome) {
+// updateHealth takes the outcome into what is known of the target and of the job.
+func (s *Scheduler) updateHealth(now time.Time, p *pool, t *target, i *Item, o Outcome) {
 	j := s.job(i.key())
 	speaks := !o.Cancelled
 	if speaks {
-		j.note(t.Name, o.OK)
-		speaks = o.OK || !j.hopeless()
+		j.record(t.Name, o.OK)
+		speaks = o.OK || !j.failsEverywhere()
 	}
 	if o.OK {
-		j.run.add(now.Sub(i.started))
-		t.run.add(now.Sub(i.started))
+		j.run.add(now.Sub(i.startedAt))
+		t.run.add(now.Sub(i.startedAt))
 	}
 	switch {
-	case i.probe && (!speaks || t.probed(now, o.OK)):
+	case i.probe && (!speaks || t.endProbe(now, o.OK)):
 		// Without a result the next request probes again.
-		t.asideSlot = p.aside.Push(t)
-	case i.probe || t.aside() || !speaks:
+		t.heapEntry = p.quarantined.Push(t)
+	case i.probe || t.quarantined() || !speaks:
 		// An attempt that began before the target was set aside tells no more.
-	case !t.note(now, o.OK):
-	case p.mayLose():
-		t.asideSlot = p.aside.Push(t)
+	case !t.record(now, o.OK):
+	case p.canQuarantine():
+		t.heapEntry = p.quarantined.Push(t)
 	default:
-		t.asideUntil = time.Time{}
+		t.quarantinedUntil = time.Time{}
 	}
 	i.probe = false
 }
 
-// mayLose reports whether one more target may be set aside.
-func (p *pool) mayLose() bool {
-	return float64(p.aside.Len()+1) <= asideShare*float64(len(p.targets))
+// canQuarantine reports whether one more target may be set aside.
+func (p *pool) canQuarantine() bool {
+	return float64(p.quarantined.Len()+1) <= maxQuarantinedShare*float64(len(p.targets))
 }
--- a/request/policy_test.go
+++ b/request/policy_test.go
@@ -131,8 +131,8 @@
 		specs = append(specs, TargetSpec{Name: fmt.Sprint("t", n), Pool: "p", Slots: 8})
 	}
 	s.SetTargets(specs)
-	s.Declare("s", "quick", 50*time.Millisecond)
-	s.Declare("s", "patient", 300*time.Millisecond)
+	s.DeclareRunTime("s", "quick", 50*time.Millisecond)
+	s.DeclareRunTime("s", "patient", 300*time.Millisecond)
 	runs := map[*Item]time.Duration{}
 	e := &endings{}
 	var pump func(now time.Time)
@@ -165,7 +165,7 @@
 		}
 		pump(a.at)
 		// The dispatcher gives a request up that cannot be in time any more.
-		heap.Push(e, ending{at: s.GiveUpAt(i), end: func(time.Time) { s.Cancel(i) }})
+		heap.Push(e, ending{at: s.LatestStart(i), end: func(time.Time) { s.Cancel(i) }})
 	})
 	return t
 }
--- a/request/refuse_test.go
+++ b/request/refuse_test.go
@@ -13,16 +13,16 @@
 	"amberway/common"
 )
 
-// TestPausedEntryHostServesWhatWaits shows that a request which came to an entry
+// TestPausedEntryHostServesWaitingRequests shows that a request which came to an entry
 // host that was held up is served once it has read anew what it may have missed,
 // and not refused.
-func TestPausedEntryHostServesWhatWaits(t *testing.T) {
+func TestPausedEntryHostServesWaitingRequests(t *testing.T) {
 	s := oneSlot(t, &slowTarget{})
 	var behind atomic.Int64
 	behind.Store(int64(2 * time.Second))
-	s.Pulse = common.NewPulse(func() time.Time { return time.Now().Add(-time.Duration(behind.Load())) })
+	s.PauseDetector = common.NewPulse(func() time.Time { return time.Now().Add(-time.Duration(behind.Load())) })
 	behind.Store(0)
-	require.True(t, s.Pulse.Suspended(time.Now()))
+	require.True(t, s.PauseDetector.Suspended(time.Now()))
 
 	start := time.Now()
 	w := ask(t.Context(), s, 100*time.Millisecond)
@@ -32,7 +32,7 @@
 
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go s.Pulse.Run(ctx, func(c context.Context) error {
+	go s.PauseDetector.Run(ctx, func(c context.Context) error {
 		common.Sleep(c, 200*time.Millisecond)
 		return c.Err()
 	})
@@ -40,25 +40,25 @@
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 }
 
-// leftHost is Hosts of which one has left, as the scheduler does not know yet.
-type leftHost struct {
+// removedHost is Hosts of which one has left, as the scheduler does not know yet.
+type removedHost struct {
 	Hosts
-	left string
+	removed string
 }
 
 // Address is part of Hosts.
-func (l leftHost) Address(name string) (netip.AddrPort, bool) {
-	if name == l.left {
+func (l removedHost) Address(name string) (netip.AddrPort, bool) {
+	if name == l.removed {
 		return netip.AddrPort{}, false
 	}
 	return l.Hosts.Address(name)
 }
 
-// TestTargetThatLeftCostsNoRequest shows that requests which the scheduler gives
+// TestRemovedTargetCostsNoRequest shows that requests which the scheduler gives
 // a target that has left meanwhile run on another one, however many they are.
-func TestTargetThatLeftCostsNoRequest(t *testing.T) {
+func TestRemovedTargetCostsNoRequest(t *testing.T) {
 	s := oneSlot(t, &slowTarget{})
-	s.Hosts = leftHost{Hosts: s.Hosts, left: "a"}
+	s.Hosts = removedHost{Hosts: s.Hosts, removed: "a"}
 	s.Dispatcher.Update(func(c *Scheduler) {
 		c.SetTargets([]TargetSpec{{Name: "a", Pool: "p", Slots: 8}, {Name: "b", Pool: "p", Slots: 8}})
 	})
@@ -68,25 +68,25 @@
 	}
 }
 
-// backHost is Hosts of which one has left at the first look, and is back since.
-type backHost struct {
+// returnedHost is Hosts of which one has left at the first look, and is back since.
+type returnedHost struct {
 	Hosts
 	looks atomic.Int64
 }
 
 // Address is part of Hosts.
-func (b *backHost) Address(name string) (netip.AddrPort, bool) {
+func (b *returnedHost) Address(name string) (netip.AddrPort, bool) {
 	if b.looks.Add(1) == 1 {
 		return netip.AddrPort{}, false
 	}
 	return b.Hosts.Address(name)
 }
 
-// TestTargetThatIsBackIsUsed shows that a target is not taken out for having left
+// TestReturnedTargetIsUsed shows that a target is not taken out for having left
 // where the view by which it is back was handed on before.
-func TestTargetThatIsBackIsUsed(t *testing.T) {
+func TestReturnedTargetIsUsed(t *testing.T) {
 	s := oneSlot(t, &slowTarget{})
-	s.Hosts = &backHost{Hosts: s.Hosts}
+	s.Hosts = &returnedHost{Hosts: s.Hosts}
 	w := ask(t.Context(), s, 5*time.Second)
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 }
--- a/request/retry.go
+++ b/request/retry.go
@@ -4,10 +4,10 @@
 
 // Shares of the retry budget.
 const (
-	// retryShare is how many retries each request adds to the budget.
-	retryShare = 0.1
-	// retryMost is the largest budget.
-	retryMost = 20
+	// retriesPerRequest is how many retries each request adds to the budget.
+	retriesPerRequest = 0.1
+	// maxRetryBudget is the largest budget.
+	maxRetryBudget = 20
 )
 
 // RetryBudget bounds retries to a share of the requests, so that they cannot
@@ -19,14 +19,14 @@
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{tokens: retryMost}
+	return &RetryBudget{tokens: maxRetryBudget}
 }
 
 // Earn adds the share of one request.
 func (b *RetryBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+retryShare, retryMost)
+	b.tokens = min(b.tokens+retriesPerRequest, maxRetryBudget)
 }
 
 // Spend takes one retry out and reports whether there was one.
--- a/request/run.go
+++ b/request/run.go
@@ -19,8 +19,8 @@
 	return common.Ran
 }
 
-// run is one attempt that has an answer.
-type run struct {
+// attemptResult is one attempt that has an answer.
+type attemptResult struct {
 	reply *Reply
 	// relayed says that the answer is another data centre's and has a verdict.
 	relayed bool
@@ -28,13 +28,13 @@
 }
 
 // handle brings the request to its answer, or to a problem with its verdict.
-func (s *Server) handle(ctx context.Context, q *intake) (*run, *common.ProblemError) {
+func (s *Server) handle(ctx context.Context, q *acceptedRequest) (*attemptResult, *common.ProblemError) {
 	if q.issued != nil && !s.Issuer.Issued(*q.issued) {
-		return s.relay(ctx, q)
+		return s.relayToIssuer(ctx, q)
 	}
 	for n := 1; ; n++ {
 		v, err := s.attempt(ctx, q)
-		if err == nil && !s.again(q, v, n) {
+		if err == nil && !s.shouldRetryAnswer(q, v, n) {
 			return v, nil
 		}
 		if err == nil {
@@ -46,15 +46,15 @@
 			return s.spill(ctx, q, p)
 		}
 		if !s.mayRetry(ctx, q, err, n) {
-			return nil, s.gaveUp(ctx, q, err)
+			return nil, s.noAnswerProblem(ctx, q, err)
 		}
 	}
 }
 
-// again reports whether a failure that the target answered with is worth
+// shouldRetryAnswer reports whether a failure that the target answered with is worth
 // another target.
-func (s *Server) again(q *intake, v *run, n int) bool {
-	if q.once || v.reply.Status < http.StatusInternalServerError || v.reply.Rest != nil {
+func (s *Server) shouldRetryAnswer(q *acceptedRequest, v *attemptResult, n int) bool {
+	if q.atMostOnce || v.reply.Status < http.StatusInternalServerError || v.reply.Rest != nil {
 		return false
 	}
 	return n < maxAttempts && s.budget.Spend()
@@ -62,35 +62,35 @@
 
 // mayRetry reports whether another attempt is true to the request and within
 // the budget.
-func (s *Server) mayRetry(ctx context.Context, q *intake, err error, n int) bool {
+func (s *Server) mayRetry(ctx context.Context, q *acceptedRequest, err error, n int) bool {
 	var a *AttemptError
 	if !errors.As(err, &a) || ctx.Err() != nil || n >= maxAttempts {
 		return false
 	}
-	if a.Sent && q.once {
+	if a.Sent && q.atMostOnce {
 		return false
 	}
 	return s.budget.Spend()
 }
 
-// gaveUp returns the final answer after a failed attempt.
-func (s *Server) gaveUp(ctx context.Context, q *intake, err error) *common.ProblemError {
-	retry := s.deps.Now().Add(retryLater)
+// noAnswerProblem returns the final answer after a failed attempt.
+func (s *Server) noAnswerProblem(ctx context.Context, q *acceptedRequest, err error) *common.ProblemError {
+	retry := s.deps.Now().Add(defaultRetryDelay)
 	if ctx.Err() != nil {
 		return q.problem(http.StatusGatewayTimeout, "no answer by the deadline", err.Error(), retry)
 	}
 	return q.problem(http.StatusBadGateway, "no answer from the target", err.Error(), retry)
 }
 
-// errLeft is the error of a target that left after the scheduler chose it.
-var errLeft = errors.New("the target left")
+// errTargetRemoved is the error of a target that left after the scheduler chose it.
+var errTargetRemoved = errors.New("the target left")
 
 // attempt sends the request to one target that has not left. The error is an
 // *AttemptError or a *common.ProblemError.
-func (s *Server) attempt(ctx context.Context, q *intake) (*run, error) {
+func (s *Server) attempt(ctx context.Context, q *acceptedRequest) (*attemptResult, error) {
 	for {
 		v, err := s.offer(ctx, q)
-		if !errors.Is(err, errLeft) {
+		if !errors.Is(err, errTargetRemoved) {
 			return v, err
 		}
 	}
@@ -98,11 +98,11 @@
 
 // offer queues the request, claims it where needed and sends it to the target
 // that the scheduler chooses. The error is errLeft or that of attempt.
-func (s *Server) offer(ctx context.Context, q *intake) (*run, error) {
-	i := &Item{Service: UnitOf(q.service, q.job), Job: q.job.Name, Class: q.class, Deadline: q.deadline}
+func (s *Server) offer(ctx context.Context, q *acceptedRequest) (*attemptResult, error) {
+	i := &Item{Service: QueueName(q.service, q.job), Job: q.job.Name, Class: q.class, Deadline: q.deadline}
 	started, refusal := s.Dispatcher.Offer(i)
 	if refusal != nil {
-		return nil, s.refusal(q, refusal)
+		return nil, s.refusalProblem(q, refusal)
 	}
 	if p := s.claim(ctx, q); p != nil {
 		s.Dispatcher.Drop(i)
@@ -110,10 +110,10 @@
 	}
 	refusal, err := s.Dispatcher.Wait(ctx, i, started)
 	if refusal != nil {
-		return nil, s.refusal(q, refusal)
+		return nil, s.refusalProblem(q, refusal)
 	}
 	if err != nil {
-		return nil, s.gaveUp(ctx, q, err)
+		return nil, s.noAnswerProblem(ctx, q, err)
 	}
 	return s.send(ctx, q, i)
 }
@@ -126,16 +126,16 @@
 	ReasonUnknown:  http.StatusNotFound,
 }
 
-func (s *Server) refusal(q *intake, r *Refusal) *common.ProblemError {
+func (s *Server) refusalProblem(q *acceptedRequest, r *Refusal) *common.ProblemError {
 	return q.problem(statusOf[r.Reason], "refused", string(r.Reason), r.RetryAt)
 }
 
 // claim claims a request that may not be repeated, once.
-func (s *Server) claim(ctx context.Context, q *intake) *common.ProblemError {
-	if !q.once || q.claimed {
+func (s *Server) claim(ctx context.Context, q *acceptedRequest) *common.ProblemError {
+	if !q.atMostOnce || q.claimed {
 		return nil
 	}
-	retry := s.deps.Now().Add(retryLater)
+	retry := s.deps.Now().Add(defaultRetryDelay)
 	switch s.claimOutcome(ctx, q) {
 	case ClaimGranted:
 		q.claimed = true
@@ -145,19 +145,19 @@
 			"another copy with this id may have run or may run now", time.Time{})
 	case ClaimExpired:
 		return q.problem(http.StatusGone, "the id is too old",
-			"an id may be run within "+IDWindow.String()+" of its making; an earlier copy may have run", time.Time{})
+			"an id may be run within "+IDLifetime.String()+" of its making; an earlier copy may have run", time.Time{})
 	default:
 		return q.problem(http.StatusServiceUnavailable, "the request could not be claimed",
 			"come back with the same id", retry)
 	}
 }
 
-// claimFor is how long a claim is tried. A request that cannot be claimed by then
+// requestClaimTimeout is how long a claim is tried. A request that cannot be claimed by then
 // gets its answer at once, however late its deadline is.
-const claimFor = 2 * time.Second
+const requestClaimTimeout = 2 * time.Second
 
-func (s *Server) claimOutcome(ctx context.Context, q *intake) ClaimOutcome {
-	ctx, cancel := context.WithTimeout(ctx, claimFor)
+func (s *Server) claimOutcome(ctx context.Context, q *acceptedRequest) ClaimOutcome {
+	ctx, cancel := context.WithTimeout(ctx, requestClaimTimeout)
 	defer cancel()
 	if q.issued != nil {
 		return s.Issuer.Claim(s.deps.Now(), *q.issued)
@@ -165,67 +165,67 @@
 	return s.Claims.Claim(ctx, q.id)
 }
 
-// pauseLook is the time between two looks whether the process knows again what
+// pausePollInterval is the time between two looks whether the process knows again what
 // it missed in a pause.
-const pauseLook = 20 * time.Millisecond
+const pausePollInterval = 20 * time.Millisecond
 
-// hold holds a request back until a process that was paused knows what it has
+// awaitResume holds a request back until a process that was paused knows what it has
 // missed. It is the last point at which one whose time has passed is refused.
-func (s *Server) hold(ctx context.Context, q *intake) *common.ProblemError {
+func (s *Server) awaitResume(ctx context.Context, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
-	for s.Pulse.Suspended(now) && now.Before(q.deadline) && ctx.Err() == nil {
-		common.Sleep(ctx, pauseLook)
+	for s.PauseDetector.Suspended(now) && now.Before(q.deadline) && ctx.Err() == nil {
+		common.Sleep(ctx, pausePollInterval)
 		now = s.deps.Now()
 	}
 	switch {
-	case s.Pulse.Suspended(now):
-		return q.problem(http.StatusServiceUnavailable, "this entry host was paused", "", now.Add(retryLater))
-	case !now.Before(q.deadline) || (q.once && !Fresh(now, q.id)):
+	case s.PauseDetector.Suspended(now):
+		return q.problem(http.StatusServiceUnavailable, "this entry host was paused", "", now.Add(defaultRetryDelay))
+	case !now.Before(q.deadline) || (q.atMostOnce && !Fresh(now, q.id)):
 		return q.problem(http.StatusGatewayTimeout, "the deadline has passed", "", time.Time{})
 	}
 	return nil
 }
 
 // send runs the item on the target that the scheduler gave it.
-func (s *Server) send(ctx context.Context, q *intake, i *Item) (*run, error) {
-	if p := s.hold(ctx, q); p != nil {
+func (s *Server) send(ctx context.Context, q *acceptedRequest, i *Item) (*attemptResult, error) {
+	if p := s.awaitResume(ctx, q); p != nil {
 		s.Dispatcher.Drop(i)
 		return nil, p
 	}
 	a, ok := s.Hosts.Address(i.Target)
 	if !ok {
-		s.Dispatcher.Left(i, func() bool {
+		s.Dispatcher.TargetRemoved(i, func() bool {
 			_, ok := s.Hosts.Address(i.Target)
 			return !ok
 		})
-		return nil, errLeft
+		return nil, errTargetRemoved
 	}
 	c := q.call
-	c.RunsOn = true
+	c.RunsToCompletion = true
 	r, err := s.Runner.Run(ctx, a, c)
 	if err != nil {
-		s.ended(ctx, q, i, err)
+		s.recordFailure(ctx, q, i, err)
 		return nil, err
 	}
 	finish := func(ok bool) {
 		s.Dispatcher.Done(i, Outcome{OK: ok && r.Status < http.StatusInternalServerError, Cancelled: !ok && ctx.Err() != nil})
 	}
-	return &run{reply: r, finish: finish}, nil
+	return &attemptResult{reply: r, finish: finish}, nil
 }
 
-// ended notes an attempt without an answer. One that the caller ended says
+// recordFailure notes an attempt without an answer. One that the caller ended says
 // nothing about the target; one that ran into the deadline does. The slot of one
 // that the target may still run stays taken until its end.
-func (s *Server) ended(ctx context.Context, q *intake, i *Item, err error) {
+func (s *Server) recordFailure(ctx context.Context, q *acceptedRequest, i *Item, err error) {
 	q.sent = q.sent || wasSent(err)
-	s.Dispatcher.Settle(i, Outcome{Cancelled: errors.Is(ctx.Err(), context.Canceled)})
+	s.Dispatcher.RecordOutcome(i, Outcome{Cancelled: errors.Is(ctx.Err(), context.Canceled)})
 	var a *AttemptError
-	if !errors.As(err, &a) || a.Over == nil {
+	if !errors.As(err, &a) || a.Done == nil {
 		s.Dispatcher.Release(i)
 		return
 	}
-	s.running.Go(func() {
-		<-a.Over
+	s.detachedRuns.Go(func() {
+		<-a.Done
 		s.Dispatcher.Release(i)
 	})
 }
@@ -235,7 +235,7 @@
 func (s *Server) Drain(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.running.Wait()
+		s.detachedRuns.Wait()
 		close(done)
 	}()
 	select {
@@ -246,38 +246,38 @@
 
 // spill passes a request that was refused here for want of capacity on to
 // another data centre, by one hop.
-func (s *Server) spill(ctx context.Context, q *intake, p *common.ProblemError) (*run, *common.ProblemError) {
-	if q.hop || q.claimed || q.sent || q.issued != nil || !spillable(p) {
+func (s *Server) spill(ctx context.Context, q *acceptedRequest, p *common.ProblemError) (*attemptResult, *common.ProblemError) {
+	if q.forwarded || q.claimed || q.sent || q.issued != nil || !isCapacityRefusal(p) {
 		return nil, p
 	}
-	r, err := s.Spill.Run(ctx, q)
+	r, err := s.Relay.ToOtherDataCentre(ctx, q)
 	if err == nil {
-		return relayed(r), nil
+		return relayedResult(r), nil
 	}
 	if wasSent(err) {
 		q.sent = true
-		return nil, s.gaveUp(ctx, q, err)
+		return nil, s.noAnswerProblem(ctx, q, err)
 	}
 	return nil, p
 }
 
-// relay passes a request on to the process that issued its id.
-func (s *Server) relay(ctx context.Context, q *intake) (*run, *common.ProblemError) {
-	m, ok := s.Spill.member(q.issued.Name)
-	if q.hop || !ok || m.Incarnation != q.issued.Incarnation {
+// relayToIssuer passes a request on to the process that issued its id.
+func (s *Server) relayToIssuer(ctx context.Context, q *acceptedRequest) (*attemptResult, *common.ProblemError) {
+	m, ok := s.Relay.member(q.issued.Name)
+	if q.forwarded || !ok || m.Incarnation != q.issued.Incarnation {
 		return nil, q.problem(http.StatusGone, "the entry host that issued the id is gone",
 			"nobody else may run it; it may have run", time.Time{})
 	}
-	r, err := s.Spill.to(ctx, m, q)
+	r, err := s.Relay.send(ctx, m, q)
 	if err == nil {
-		return relayed(r), nil
+		return relayedResult(r), nil
 	}
 	q.sent = q.sent || wasSent(err)
-	return nil, s.gaveUp(ctx, q, err)
+	return nil, s.noAnswerProblem(ctx, q, err)
 }
 
-func relayed(r *Reply) *run {
-	return &run{reply: r, relayed: true, finish: func(bool) {}}
+func relayedResult(r *Reply) *attemptResult {
+	return &attemptResult{reply: r, relayed: true, finish: func(bool) {}}
 }
 
 // wasSent reports whether the attempt may have reached its target.
@@ -286,7 +286,7 @@
 	return errors.As(err, &a) && a.Sent
 }
 
-// spillable reports whether the refusal is for want of capacity here.
-func spillable(p *common.ProblemError) bool {
+// isCapacityRefusal reports whether the refusal is for want of capacity here.
+func isCapacityRefusal(p *common.ProblemError) bool {
 	return slices.Contains([]Reason{ReasonLate, ReasonFull, ReasonNoTarget}, Reason(p.Detail))
 }
--- a/request/scheduler.go
+++ b/request/scheduler.go
@@ -11,11 +11,11 @@
 
 // Policy bounds what the scheduler takes on.
 type Policy struct {
-	// Queue is the most requests of one service and class that wait.
-	Queue int
-	// Reserve is the part of a pool's slots that patient requests leave to
+	// QueueLimit is the most requests of one service and class that wait.
+	QueueLimit int
+	// QuickReserve is the part of a pool's slots that patient requests leave to
 	// quick ones.
-	Reserve float64
+	QuickReserve float64
 	// PatientShare is the part of the run time that patient requests get while
 	// both classes wait, so that none starves.
 	PatientShare float64
@@ -23,7 +23,7 @@
 
 // DefaultPolicy returns the policy of the daemon.
 func DefaultPolicy() Policy {
-	return Policy{Queue: 4096, Reserve: 0.25, PatientShare: 0.125}
+	return Policy{QueueLimit: 4096, QuickReserve: 0.25, PatientShare: 0.125}
 }
 
 // TargetSpec is one target that may get work.
@@ -61,17 +61,17 @@
 
 // pool is the targets of one pool and the services that use them.
 type pool struct {
-	name     string
-	targets  []*target
-	free     []*target
-	aside    *common.Heap[*target]
-	services []*service
-	slots    int
+	name        string
+	targets     []*target
+	free        []*target
+	quarantined *common.Heap[*target]
+	services    []*service
+	slots       int
 	// busy and waiting count requests by class.
 	busy    [common.Classes]int
 	waiting [common.Classes]int
-	// virtual is the run time started of each class over its share.
-	virtual [common.Classes]float64
+	// virtualTime is the run time started of each class over its share.
+	virtualTime [common.Classes]float64
 }
 
 // target is one target as this process sees it.
@@ -79,21 +79,21 @@
 	TargetSpec
 	health
 	busy int
-	run  mean
-	// place is the index in the pool's free list, or -1.
-	place int
-	// asideSlot is the slot in the pool's heap, or nil.
-	asideSlot *common.Slot[*target]
-	// gone says that it gets no new work.
-	gone bool
+	run  ewma
+	// freeIndex is the index in the pool's free list, or -1.
+	freeIndex int
+	// heapEntry is the slot in the pool's heap, or nil.
+	heapEntry *common.HeapEntry[*target]
+	// removed says that it gets no new work.
+	removed bool
 }
 
 // service is the queues of one service.
 type service struct {
 	ServiceSpec
 	queues [common.Classes]*queue
-	// virtual is the run time started so far over the service's weight.
-	virtual float64
+	// virtualTime is the run time started so far over the service's weight.
+	virtualTime float64
 }
 
 // queue holds the waiting requests of one service and class by deadline.
@@ -178,7 +178,7 @@
 		ok = false
 	}
 	if !ok {
-		t = &target{place: -1, health: health{ok: newShare()}, busy: s.inFlight[v.Name]}
+		t = &target{freeIndex: -1, health: health{success: newSuccessRate()}, busy: s.inFlight[v.Name]}
 		s.targets[v.Name] = t
 		p := s.pool(v.Pool)
 		p.targets = append(p.targets, t)
@@ -186,11 +186,11 @@
 	p := s.pool(v.Pool)
 	p.slots += v.Slots - t.Slots
 	t.TargetSpec = v
-	p.place(t)
+	p.updateFree(t)
 }
 
-// Leave takes the named target out until SetTargets names it again.
-func (s *Scheduler) Leave(name string) {
+// RemoveTarget takes the named target out until SetTargets names it again.
+func (s *Scheduler) RemoveTarget(name string) {
 	if t, ok := s.targets[name]; ok {
 		s.remove(t)
 	}
@@ -199,12 +199,12 @@
 // remove takes a target out of its pool. Done finds it no more and forgets it.
 func (s *Scheduler) remove(t *target) {
 	p := s.pool(t.Pool)
-	t.gone = true
+	t.removed = true
 	p.slots -= t.Slots
-	p.place(t)
-	if t.asideSlot != nil {
-		p.aside.Remove(t.asideSlot)
-		t.asideSlot = nil
+	p.updateFree(t)
+	if t.heapEntry != nil {
+		p.quarantined.Remove(t.heapEntry)
+		t.heapEntry = nil
 	}
 	p.targets = slices.DeleteFunc(p.targets, func(v *target) bool { return v == t })
 	delete(s.targets, t.Name)
@@ -213,32 +213,32 @@
 func (s *Scheduler) pool(name string) *pool {
 	p, ok := s.pools[name]
 	if !ok {
-		p = &pool{name: name, aside: common.NewHeap(func(a, b *target) bool { return a.asideUntil.Before(b.asideUntil) })}
+		p = &pool{name: name, quarantined: common.NewHeap(func(a, b *target) bool { return a.quarantinedUntil.Before(b.quarantinedUntil) })}
 		s.pools[name] = p
 	}
 	return p
 }
 
-// place puts the target into the free list or takes it out, as its slots say.
-func (p *pool) place(t *target) {
-	want := !t.gone && t.busy < t.Slots && !t.aside()
-	if want && t.place < 0 {
-		t.place = len(p.free)
+// updateFree puts the target into the free list or takes it out, as its slots say.
+func (p *pool) updateFree(t *target) {
+	want := !t.removed && t.busy < t.Slots && !t.quarantined()
+	if want && t.freeIndex < 0 {
+		t.freeIndex = len(p.free)
 		p.free = append(p.free, t)
 	}
-	if !want && t.place >= 0 {
+	if !want && t.freeIndex >= 0 {
 		n := len(p.free) - 1
-		p.free[t.place] = p.free[n]
-		p.free[t.place].place = t.place
+		p.free[t.freeIndex] = p.free[n]
+		p.free[t.freeIndex].freeIndex = t.freeIndex
 		p.free = p.free[:n]
-		t.place = -1
+		t.freeIndex = -1
 	}
 }
 
-// Declare sets the first guess of a job's run time.
-func (s *Scheduler) Declare(service, job string, d time.Duration) {
+// DeclareRunTime sets the first guess of a job's run time.
+func (s *Scheduler) DeclareRunTime(service, job string, d time.Duration) {
 	j := s.job(jobKey{service: service, job: job})
-	if !j.run.known {
+	if !j.run.sampled {
 		j.run.value = d
 	}
 }
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -53,8 +53,8 @@
 	m.pump()
 }
 
-// may reports whether the item may run on the target.
-func (m *schedulerModel) may(i *Item, target string) bool {
+// mayRun reports whether the item may run on the target.
+func (m *schedulerModel) mayRun(i *Item, target string) bool {
 	pool := "p"
 	if i.Service == "b" {
 		pool = m.pool
@@ -127,7 +127,7 @@
 		Cancelled: rapid.IntRange(0, 4).Draw(t, "cancelled") == 0,
 	}
 	if rapid.IntRange(0, 2).Draw(t, "runs on") == 0 {
-		m.s.Settle(m.now, i, o)
+		m.s.RecordOutcome(m.now, i, o)
 		m.pump()
 		return
 	}
@@ -137,7 +137,7 @@
 	m.pump()
 }
 
-func (m *schedulerModel) pass(t *rapid.T) {
+func (m *schedulerModel) advance(t *rapid.T) {
 	m.t = t
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 	m.pump()
@@ -150,7 +150,7 @@
 			m.started(s.Item)
 		}
 	}
-	m.idleSlots()
+	m.checkIdleSlots()
 }
 
 func (m *schedulerModel) started(i *Item) {
@@ -162,7 +162,7 @@
 			m.t.Fatalf("an item started before one with an earlier deadline")
 		}
 	}
-	if !m.may(i, i.Target) {
+	if !m.mayRun(i, i.Target) {
 		m.t.Fatalf("an item of %s started on %s", i.Service, i.Target)
 	}
 	m.waiting = slices.DeleteFunc(m.waiting, func(v *Item) bool { return v == i })
@@ -182,17 +182,17 @@
 	return n
 }
 
-// idleSlots fails where a quick request waits although a target that is not
+// checkIdleSlots fails where a quick request waits although a target that is not
 // set aside has a free slot.
-func (m *schedulerModel) idleSlots() {
+func (m *schedulerModel) checkIdleSlots() {
 	for _, d := range m.s.Dump().Targets {
 		if d.Busy > d.Slots && !m.shrunk(d.Name) {
 			m.t.Fatalf("%s is over its slots", d.Name)
 		}
 		quick := slices.ContainsFunc(m.waiting, func(i *Item) bool {
-			return i.Class == common.Quick && m.may(i, d.Name)
+			return i.Class == common.Quick && m.mayRun(i, d.Name)
 		})
-		due := d.AsideUntil.IsZero() || !m.now.Before(d.AsideUntil)
+		due := d.QuarantinedUntil.IsZero() || !m.now.Before(d.QuarantinedUntil)
 		if quick && due && d.Busy < d.Slots && !m.probed(d.Name) {
 			m.t.Fatalf("a quick request waits although %s is free", d.Name)
 		}
@@ -251,7 +251,7 @@
 			"offer2":  m.offer,
 			"cancel":  m.cancel,
 			"done":    m.done,
-			"pass":    m.pass,
+			"pass":    m.advance,
 			"targets": m.targets,
 			"repool":  m.repool,
 		})
@@ -314,9 +314,9 @@
 	require.Equal(t, common.Quick, v.Item.Class)
 }
 
-// TestFailingTargetIsSetAside shows that a target that fails everything at once
+// TestFailingTargetIsQuarantined shows that a target that fails everything at once
 // gets a small part of the requests only, and comes back once it works.
-func TestFailingTargetIsSetAside(t *testing.T) {
+func TestFailingTargetIsQuarantined(t *testing.T) {
 	s := onePool(8)
 	now := time.Unix(1e9, 0)
 	failures := 0
@@ -333,13 +333,13 @@
 	}
 	require.Less(t, failures, 20)
 	for _, d := range s.Dump().Targets {
-		require.Zero(t, d.AsideUntil, d.Name)
+		require.Zero(t, d.QuarantinedUntil, d.Name)
 	}
 }
 
-// TestHopelessJobBlamesNoTarget shows that a job that fails everywhere sets no
+// TestJobThatFailsEverywhereQuarantinesNoTarget shows that a job that fails everywhere sets no
 // target aside, and is named.
-func TestHopelessJobBlamesNoTarget(t *testing.T) {
+func TestJobThatFailsEverywhereQuarantinesNoTarget(t *testing.T) {
 	s := onePool(8)
 	now := time.Unix(1e9, 0)
 	for n := range 400 {
@@ -350,10 +350,10 @@
 		s.Done(now, v.Item, Outcome{OK: v.Item.Job == "good"})
 	}
 	for _, d := range s.Dump().Targets {
-		require.Zero(t, d.AsideUntil, d.Name)
+		require.Zero(t, d.QuarantinedUntil, d.Name)
 	}
 	for _, j := range s.Dump().Jobs {
-		require.Equal(t, j.Job == "bad", j.Hopeless, j.Job)
+		require.Equal(t, j.Job == "bad", j.FailsEverywhere, j.Job)
 	}
 }
 
@@ -362,8 +362,8 @@
 func TestBurstLeavesOthersTheirShare(t *testing.T) {
 	s := onePool(1)
 	s.SetServices([]ServiceSpec{{Name: "s", Pool: "p", Weight: 1}, {Name: "o", Pool: "p", Weight: 1}})
-	s.Declare("s", "job", time.Millisecond)
-	s.Declare("o", "job", time.Millisecond)
+	s.DeclareRunTime("s", "job", time.Millisecond)
+	s.DeclareRunTime("o", "job", time.Millisecond)
 	now := time.Unix(1e9, 0)
 	for range 1000 {
 		offered(t, s, now, "job", common.Quick)
@@ -382,55 +382,55 @@
 	t.Fatal("the other service's request waits behind the burst")
 }
 
-// TestSharesNeverSumUpBeyondTheSlots proves that entry hosts that learn of
+// TestSharesNeverExceedSlots proves that entry hosts that learn of
 // each other's coming and going at different times, but within ShareHold, never
 // use more slots together than there are.
-func TestSharesNeverSumUpBeyondTheSlots(t *testing.T) {
+func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*Shares{}}
-		m.all["a"] = NewShares(m.now.Add(-ShareHold), "a")
+		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*SlotShares{}}
+		m.all["a"] = NewSlotShares(m.now.Add(-SlotShareDelay), "a")
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			m.change(t)
 			m.learn(t, 400*time.Millisecond)
-			m.now = m.now.Add(ShareHold)
+			m.now = m.now.Add(SlotShareDelay)
 			m.learn(t, 0)
 		}
 	})
 }
 
-// TestSharesWaitForNewsThatIsLate proves the same where news of a process that
+// TestSharesWaitForLateMembershipUpdates proves the same where news of a process that
 // starts takes longer than ShareHold: it uses slots only after all have answered
 // it, and so know of it.
-func TestSharesWaitForNewsThatIsLate(t *testing.T) {
+func TestSharesWaitForLateMembershipUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*Shares{}}
-		m.all["a"] = NewShares(m.now.Add(-meetWithin-ShareHold), "a")
+		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*SlotShares{}}
+		m.all["a"] = NewSlotShares(m.now.Add(-answerTimeout-SlotShareDelay), "a")
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			m.change(t)
-			m.unmet = true
-			m.learn(t, meetWithin/5)
-			m.unmet = false
-			m.now = m.now.Add(ShareHold)
+			m.awaitingAnswers = true
+			m.learn(t, answerTimeout/5)
+			m.awaitingAnswers = false
+			m.now = m.now.Add(SlotShareDelay)
 			m.learn(t, 0)
 		}
 	})
 }
 
-// TestStartDoesNotWaitForOneThatIsSilentForEver bounds the wait of a process that
+// TestStartDoesNotWaitForeverForSilentMember bounds the wait of a process that
 // starts while another one does not answer.
-func TestStartDoesNotWaitForOneThatIsSilentForEver(t *testing.T) {
+func TestStartDoesNotWaitForeverForSilentMember(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	s := NewShares(now, "a")
+	s := NewSlotShares(now, "a")
 	for range 100 {
-		s.Meet(now, false)
-		s.Follow(now, []string{"a", "b"})
+		s.ObserveAnswers(now, false)
+		s.SetMembers(now, []string{"a", "b"})
 		now = now.Add(500 * time.Millisecond)
 		if s.Usable() {
 			break
 		}
 	}
 	require.True(t, s.Usable())
-	require.LessOrEqual(t, now.Sub(time.Unix(1e9, 0)), meetWithin+ShareHold+time.Second)
+	require.LessOrEqual(t, now.Sub(time.Unix(1e9, 0)), answerTimeout+SlotShareDelay+time.Second)
 }
 
 // TestMoreMembersGiveNoLargerShare proves that an entry host which still counts
@@ -452,7 +452,7 @@
 		}
 		target := rapid.StringMatching("[a-z]{1,4}").Draw(t, "target")
 		slots := rapid.IntRange(0, 20).Draw(t, "slots")
-		require.LessOrEqual(t, ShareOf(target, slots, many, "a"), ShareOf(target, slots, few, "a"))
+		require.LessOrEqual(t, SlotShare(target, slots, many, "a"), SlotShare(target, slots, few, "a"))
 	})
 }
 
@@ -460,18 +460,18 @@
 type sharesModel struct {
 	now  time.Time
 	live []string
-	all  map[string]*Shares
-	// unmet says that not all have answered those that start.
-	unmet bool
+	all  map[string]*SlotShares
+	// awaitingAnswers says that not all have answered those that start.
+	awaitingAnswers bool
 }
 
 // change lets one entry host come or go.
 func (m *sharesModel) change(t *rapid.T) {
 	m.live = toggle(m.live, rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"))
-	maps.DeleteFunc(m.all, func(n string, _ *Shares) bool { return !slices.Contains(m.live, n) })
+	maps.DeleteFunc(m.all, func(n string, _ *SlotShares) bool { return !slices.Contains(m.live, n) })
 	for _, n := range m.live {
 		if m.all[n] == nil {
-			m.all[n] = NewShares(m.now, n)
+			m.all[n] = NewSlotShares(m.now, n)
 		}
 	}
 }
@@ -480,8 +480,8 @@
 func (m *sharesModel) learn(t *rapid.T, apart time.Duration) {
 	for _, n := range rapid.Permutation(m.live).Draw(t, "order") {
 		m.now = m.now.Add(time.Duration(rapid.Int64Range(0, int64(apart)).Draw(t, "apart")))
-		m.all[n].Meet(m.now, !m.unmet)
-		m.all[n].Follow(m.now, m.live)
+		m.all[n].ObserveAnswers(m.now, !m.awaitingAnswers)
+		m.all[n].SetMembers(m.now, m.live)
 		requireShares(t, m.all)
 	}
 }
@@ -497,7 +497,7 @@
 	return slices.DeleteFunc(slices.Clone(live), func(v string) bool { return v == n })
 }
 
-func requireShares(t *rapid.T, all map[string]*Shares) {
+func requireShares(t *rapid.T, all map[string]*SlotShares) {
 	sum := 0
 	for _, s := range all {
 		sum += s.Of("target", 8)
@@ -507,9 +507,9 @@
 	}
 }
 
-// TestSharesSumUpToTheSlots shows that entry hosts that see the same members
+// TestSharesSumUpToSlots shows that entry hosts that see the same members
 // never run more on a target than it has slots, and use all of them.
-func TestSharesSumUpToTheSlots(t *testing.T) {
+func TestSharesSumUpToSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(0, 64).Draw(t, "slots")
 		var members []string
@@ -518,7 +518,7 @@
 		}
 		sum := 0
 		for _, m := range members {
-			sum += ShareOf("target", slots, members, m)
+			sum += SlotShare("target", slots, members, m)
 		}
 		if sum != slots {
 			t.Fatalf("%d members have %d slots of %d", len(members), sum, slots)
--- a/request/server.go
+++ b/request/server.go
@@ -23,11 +23,11 @@
 const (
 	// maxAttempts is the most targets that one request is sent to.
 	maxAttempts = 3
-	// maxHeld is the most bytes of bodies held at once. A body of unknown length
+	// maxBufferedBodies is the most bytes of bodies held at once. A body of unknown length
 	// counts as the largest.
-	maxHeld = 128 << 20
-	// retryLater is when to come back after a failure that no queue explains.
-	retryLater = time.Second
+	maxBufferedBodies = 128 << 20
+	// defaultRetryDelay is when to come back after a failure that no queue explains.
+	defaultRetryDelay = time.Second
 )
 
 // Hosts tells where a host listens.
@@ -47,62 +47,62 @@
 	Run(ctx context.Context, a netip.AddrPort, c Call) (*Reply, error)
 }
 
-// Parts are what a Server is made of.
-type Parts struct {
+// ServerOptions are what a Server is made of.
+type ServerOptions struct {
 	// Config returns the configuration in force.
 	Config     func() *config.Snapshot
 	Dispatcher *Dispatcher
 	Claims     Claims
 	Runner     Runner
 	Hosts      Hosts
-	Spill      *Spill
+	Relay      *Relay
 	Issuer     *Issuer
 	Metrics    *Metrics
-	// Pulse tells whether the process was paused just now.
-	Pulse *common.Pulse
+	// PauseDetector tells whether the process was paused just now.
+	PauseDetector *common.PauseDetector
 	// HopToken proves that a request comes from another entry host.
 	HopToken string
 }
 
 // Server is the callers' interface.
 type Server struct {
-	Parts
-	deps   common.Deps
-	log    common.Log
-	mux    *http.ServeMux
-	budget *RetryBudget
-	held   *semaphore.Weighted
-	// running are the runs that go on although their callers have their answers.
-	running sync.WaitGroup
+	ServerOptions
+	deps           common.Deps
+	log            common.Log
+	mux            *http.ServeMux
+	budget         *RetryBudget
+	bufferedBodies *semaphore.Weighted
+	// detachedRuns are the runs that go on although their callers have their answers.
+	detachedRuns sync.WaitGroup
 }
 
 // NewServer returns the callers' interface.
-func NewServer(d common.Deps, p Parts) *Server {
+func NewServer(d common.Deps, p ServerOptions) *Server {
 	s := &Server{
-		Parts:  p,
-		deps:   d,
-		log:    d.Log("request"),
-		mux:    http.NewServeMux(),
-		budget: NewRetryBudget(),
-		held:   semaphore.NewWeighted(maxHeld),
+		ServerOptions:  p,
+		deps:           d,
+		log:            d.Log("request"),
+		mux:            http.NewServeMux(),
+		budget:         NewRetryBudget(),
+		bufferedBodies: semaphore.NewWeighted(maxBufferedBodies),
 	}
-	s.mux.HandleFunc("POST /ids", s.issue)
-	s.mux.HandleFunc("/", s.take)
+	s.mux.HandleFunc("POST /ids", s.issueIDs)
+	s.mux.HandleFunc("/", s.serveRequest)
 	return s
 }
 
-// maxIssued is the most ids issued at once.
-const maxIssued = 1000
+// maxIssuedIDs is the most ids issued at once.
+const maxIssuedIDs = 1000
 
-// issue answers with ids that only this process may run, a line each.
-func (s *Server) issue(w http.ResponseWriter, r *http.Request) {
+// issueIDs answers with ids that only this process may run, a line each.
+func (s *Server) issueIDs(w http.ResponseWriter, r *http.Request) {
 	n := 1
 	if v := r.URL.Query().Get("count"); v != "" {
 		var err error
-		if n, err = strconv.Atoi(v); err != nil || n < 1 || n > maxIssued {
+		if n, err = strconv.Atoi(v); err != nil || n < 1 || n > maxIssuedIDs {
 			p := &common.ProblemError{
 				Type: "about:blank", Title: "bad count", Status: http.StatusBadRequest, Verdict: common.NotRun,
-				Detail: fmt.Sprintf("it is no number from 1 to %d", maxIssued),
+				Detail: fmt.Sprintf("it is no number from 1 to %d", maxIssuedIDs),
 			}
 			p.Write(w, s.deps.Now())
 			return
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s *Server) hopToken(v string) bool {
+func (s *Server) isHopToken(v string) bool {
 	return subtle.ConstantTimeCompare([]byte(v), []byte(s.HopToken)) == 1
 }
 
@@ -122,64 +122,64 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if path.Clean(r.URL.Path) != r.URL.Path {
 		// The mux would redirect it, without a verdict.
-		s.take(w, r)
+		s.serveRequest(w, r)
 		return
 	}
 	s.mux.ServeHTTP(w, r)
 }
 
-// take takes one request and answers it with a verdict.
-func (s *Server) take(w http.ResponseWriter, r *http.Request) {
+// serveRequest takes one request and answers it with a verdict.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	start := s.deps.Now()
 	n := int64(MaxBody)
 	if r.ContentLength >= 0 {
 		n = min(r.ContentLength, MaxBody)
 	}
-	if !s.held.TryAcquire(n) {
-		q := &intake{keyed: r.Header.Get(common.HeaderKey) != ""}
-		s.refuse(w, q, q.problem(http.StatusServiceUnavailable, "too many bodies are held", "", start.Add(retryLater)))
+	if !s.bufferedBodies.TryAcquire(n) {
+		q := &acceptedRequest{hasKey: r.Header.Get(common.HeaderKey) != ""}
+		s.writeProblem(w, q, q.problem(http.StatusServiceUnavailable, "too many bodies are held", "", start.Add(defaultRetryDelay)))
 		return
 	}
-	defer s.held.Release(n)
+	defer s.bufferedBodies.Release(n)
 	q, p := s.accept(w, r)
 	if p != nil {
-		s.refuse(w, q, p)
+		s.writeProblem(w, q, p)
 		return
 	}
 	s.answer(w, r, q, start)
 }
 
-func (s *Server) refuse(w http.ResponseWriter, q *intake, p *common.ProblemError) {
+func (s *Server) writeProblem(w http.ResponseWriter, q *acceptedRequest, p *common.ProblemError) {
 	class := common.Quick
 	if q != nil {
 		class = q.class
 	}
-	s.Metrics.ended(class, p.Verdict)
+	s.Metrics.countVerdict(class, p.Verdict)
 	p.Write(w, s.deps.Now())
 }
 
 // answer runs the request and passes its answer on.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, q *intake, start time.Time) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, q *acceptedRequest, start time.Time) {
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	s.budget.Earn()
 	run, p := s.handle(ctx, q)
 	if p != nil {
-		s.refuse(w, q, p)
+		s.writeProblem(w, q, p)
 		return
 	}
-	err := s.pass(w, q, run)
+	err := s.writeAnswer(w, q, run)
 	run.finish(err == nil)
 	if err != nil {
 		s.log.Warnf("answer to %s broke off: %v", q.id, err)
 		// The caller must not take what it has for the whole answer.
 		panic(http.ErrAbortHandler)
 	}
-	s.Metrics.answered(q.class, verdictOf(run.reply.Status), s.deps.Now().Sub(start))
+	s.Metrics.recordAnswer(q.class, verdictOf(run.reply.Status), s.deps.Now().Sub(start))
 }
 
-// pass writes the answer of the target to the caller.
-func (s *Server) pass(w http.ResponseWriter, q *intake, run *run) error {
+// writeAnswer writes the answer of the target to the caller.
+func (s *Server) writeAnswer(w http.ResponseWriter, q *acceptedRequest, run *attemptResult) error {
 	copyHeader(w.Header(), run.reply.Header)
 	w.Header().Set(common.HeaderID, q.id.String())
 	if w.Header().Get(common.HeaderVerdict) == "" || !run.relayed {
@@ -187,7 +187,7 @@
 	}
 	w.WriteHeader(run.reply.Status)
 	//nolint:gosec // A target's answer goes to its caller as it is.
-	if _, err := w.Write(run.reply.Head); err != nil {
+	if _, err := w.Write(run.reply.Buffered); err != nil {
 		return err
 	}
 	if run.reply.Rest == nil {
--- a/request/share.go
+++ b/request/share.go
@@ -7,12 +7,12 @@
 	"amberway/common"
 )
 
-// ShareOf returns how many of a target's slots one process may use. The slots
+// SlotShare returns how many of a target's slots one process may use. The slots
 // are divided over the entry hosts of the data centre that hold a share, and what
 // is left over goes to those that rank first for the target, which differ from
 // target to target. Where all processes see the same members, their shares sum
 // up to the slots exactly; one that sees more members has no larger share.
-func ShareOf(target string, slots int, members []string, self string) int {
+func SlotShare(target string, slots int, members []string, self string) int {
 	if len(members) == 0 {
 		return slots
 	}
@@ -24,44 +24,44 @@
 	return n
 }
 
-// ShareHold is how long a process that has just started waits before it uses
+// SlotShareDelay is how long a process that has just started waits before it uses
 // slots: by then the others have learned of it and use fewer, and short runs on
 // the slots that they gave up have ended. A share that grows needs no such wait,
 // as it does so only when another process has gone.
-const ShareHold = 2 * time.Second
+const SlotShareDelay = 2 * time.Second
 
-// meetWithin is how long a process that has just started waits for an answer of
+// answerTimeout is how long a process that has just started waits for an answer of
 // every live member before it takes one that gives none for silent: twice the
 // time in which a silent member is taken for dead.
-const meetWithin = 8 * time.Second
+const answerTimeout = 8 * time.Second
 
-// Shares works out how many slots of each target one process may use while
+// SlotShares works out how many slots of each target one process may use while
 // members come and go.
-type Shares struct {
+type SlotShares struct {
 	self    string
 	members []string
 	// usableAt is when a process that has just started may use slots.
 	usableAt time.Time
 	usable   bool
-	// meetBy is when it no longer waits for members that have not answered.
-	meetBy time.Time
+	// answersBy is when it no longer waits for members that have not answered.
+	answersBy time.Time
 }
 
-// NewShares returns the shares of a process that starts now.
-func NewShares(now time.Time, self string) *Shares {
-	return &Shares{self: self, usableAt: now.Add(ShareHold), meetBy: now.Add(meetWithin)}
+// NewSlotShares returns the shares of a process that starts now.
+func NewSlotShares(now time.Time, self string) *SlotShares {
+	return &SlotShares{self: self, usableAt: now.Add(SlotShareDelay), answersBy: now.Add(answerTimeout)}
 }
 
-// Meet takes in whether every live member has answered the process since its
+// ObserveAnswers takes in whether every live member has answered the process since its
 // start, and so knows of it. Until then its wait begins anew.
-func (s *Shares) Meet(now time.Time, all bool) {
-	if !all && !s.usable && now.Before(s.meetBy) {
-		s.usableAt = now.Add(ShareHold)
+func (s *SlotShares) ObserveAnswers(now time.Time, all bool) {
+	if !all && !s.usable && now.Before(s.answersBy) {
+		s.usableAt = now.Add(SlotShareDelay)
 	}
 }
 
-// Follow takes in who holds a share. It reports whether shares may have changed.
-func (s *Shares) Follow(now time.Time, names []string) bool {
+// SetMembers takes in who holds a share. It reports whether shares may have changed.
+func (s *SlotShares) SetMembers(now time.Time, names []string) bool {
 	began := !s.usable && !now.Before(s.usableAt)
 	s.usable = s.usable || began
 	if slices.Equal(names, s.members) {
@@ -72,14 +72,14 @@
 }
 
 // Usable reports whether the process may use slots at all.
-func (s *Shares) Usable() bool {
+func (s *SlotShares) Usable() bool {
 	return s.usable
 }
 
 // Of returns the process's share of a target's slots.
-func (s *Shares) Of(target string, slots int) int {
+func (s *SlotShares) Of(target string, slots int) int {
 	if !s.usable {
 		return 0
 	}
-	return ShareOf(target, slots, s.members, s.self)
+	return SlotShare(target, slots, s.members, s.self)
 }
--- a/request/silence_test.go
+++ b/request/silence_test.go
@@ -19,7 +19,7 @@
 // An answer may take as long as a request's deadline allows, so that only the
 // deadline shows that a target's connection has gone silent. The next request does not
 // meet another such connection.
-func TestOneDeadlineIsPaidForAllSilentConnectionsToATarget(t *testing.T) {
+func TestSilentConnectionsToTargetCostOneDeadline(t *testing.T) {
 	const conns = 4
 	var together sync.WaitGroup
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -62,14 +62,14 @@
 	}
 }
 
-func TestConnectionOfAnAnswerThatIsPassedOnIsNotGivenUp(t *testing.T) {
+func TestStreamingAnswerKeepsItsConnection(t *testing.T) {
 	more := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/never":
 			<-r.Context().Done()
 		case "/long":
-			_, _ = w.Write(make([]byte, wholeBelow))
+			_, _ = w.Write(make([]byte, maxBufferedAnswer))
 			_ = http.NewResponseController(w).Flush()
 			<-more
 			_, _ = w.Write([]byte("end"))
--- a/request/slot_test.go
+++ b/request/slot_test.go
@@ -74,15 +74,15 @@
 	m, err := NewMetrics(noop.NewMeterProvider().Meter("test"))
 	require.NoError(t, err)
 	f := NewForwarder(8)
-	return NewServer(common.Quiet(), Parts{
-		Config:     func() *config.Snapshot { return &config.Snapshot{Document: doc} },
-		Dispatcher: NewDispatcher(s, time.Now),
-		Runner:     f,
-		Hosts:      fixedHost(netip.MustParseAddrPort(strings.TrimPrefix(target.URL, "http://"))),
-		Spill:      NewSpill("north", "hop", func() []peers.Member { return nil }, f),
-		Issuer:     NewIssuer("e", 1),
-		Metrics:    m,
-		Pulse:      common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
+	return NewServer(common.Quiet(), ServerOptions{
+		Config:        func() *config.Snapshot { return &config.Snapshot{Document: doc} },
+		Dispatcher:    NewDispatcher(s, time.Now),
+		Runner:        f,
+		Hosts:         fixedHost(netip.MustParseAddrPort(strings.TrimPrefix(target.URL, "http://"))),
+		Relay:         NewRelay("north", "hop", func() []peers.Member { return nil }, f),
+		Issuer:        NewIssuer("e", 1),
+		Metrics:       m,
+		PauseDetector: common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
 	})
 }
 
@@ -96,10 +96,10 @@
 	return w
 }
 
-// TestRunThatNobodyWaitsForKeepsItsSlot shows that a run whose caller's time has
+// TestAbandonedRunKeepsItsSlot shows that a run whose caller's time has
 // passed, or whose caller has gone, holds its slot until the target has ended
 // it: nothing makes a target stop, so that the next request would run beside it.
-func TestRunThatNobodyWaitsForKeepsItsSlot(t *testing.T) {
+func TestAbandonedRunKeepsItsSlot(t *testing.T) {
 	for name, ctx := range map[string]func(context.Context) (context.Context, context.CancelFunc){
 		"the deadline has passed": context.WithCancel,
 		"the caller has gone": func(c context.Context) (context.Context, context.CancelFunc) {
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestCutDuringSetUpIsKnown ends the caller's context at the moment in which the
+// TestCancelDuringDialLeavesNoUnknownRun ends the caller's context at the moment in which the
 // connection to the target is there: either the target does not run the request,
 // or the error says when it is over.
-func TestCutDuringSetUpIsKnown(t *testing.T) {
+func TestCancelDuringDialLeavesNoUnknownRun(t *testing.T) {
 	v := &slowTarget{took: 5 * time.Millisecond}
 	target := httptest.NewServer(v)
 	defer target.Close()
@@ -135,25 +135,25 @@
 	for n := range 500 {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := NewForwarder(8)
-		f.shared.DialContext = func(c context.Context, network, at string) (net.Conn, error) {
+		f.pooled.DialContext = func(c context.Context, network, at string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(context.WithoutCancel(c), network, at)
 			cancel()
 			return conn, err
 		}
 		before := v.begun()
-		_, err := f.Run(ctx, a, Call{ID: "x", Method: http.MethodPost, Path: "/", Header: http.Header{}, Body: []byte("body"), RunsOn: true})
+		_, err := f.Run(ctx, a, Call{ID: "x", Method: http.MethodPost, Path: "/", Header: http.Header{}, Body: []byte("body"), RunsToCompletion: true})
 		var e *AttemptError
 		if err != nil {
 			require.ErrorAs(t, err, &e)
 		}
-		if e != nil && e.Over == nil {
+		if e != nil && e.Done == nil {
 			time.Sleep(2 * time.Millisecond)
 			require.Equal(t, before, v.begun(), "attempt %d was given up and runs", n)
 		}
-		if e != nil && e.Over != nil {
-			<-e.Over
+		if e != nil && e.Done != nil {
+			<-e.Done
 		}
-		f.shared.CloseIdleConnections()
+		f.pooled.CloseIdleConnections()
 		cancel()
 	}
 }
--- a/request/spill.go
+++ b/request/spill.go
@@ -10,8 +10,8 @@
 	"amberway/peers"
 )
 
-// Spill passes requests on to another data centre.
-type Spill struct {
+// Relay passes requests on to another data centre.
+type Relay struct {
 	dc     string
 	token  string
 	live   func() []peers.Member
@@ -19,15 +19,15 @@
 	budget *RetryBudget
 }
 
-// NewSpill returns a way from the data centre to the live members of others,
+// NewRelay returns a way from the data centre to the live members of others,
 // which know it by the token.
-func NewSpill(dc, token string, live func() []peers.Member, r Runner) *Spill {
-	return &Spill{dc: dc, token: token, live: live, runner: r, budget: NewRetryBudget()}
+func NewRelay(dc, token string, live func() []peers.Member, r Runner) *Relay {
+	return &Relay{dc: dc, token: token, live: live, runner: r, budget: NewRetryBudget()}
 }
 
-// Run sends the request to one entry host of another data centre. The error is
+// ToOtherDataCentre sends the request to one entry host of another data centre. The error is
 // an *AttemptError.
-func (s *Spill) Run(ctx context.Context, q *intake) (*Reply, error) {
+func (s *Relay) ToOtherDataCentre(ctx context.Context, q *acceptedRequest) (*Reply, error) {
 	s.budget.Earn()
 	var l []peers.Member
 	for _, m := range s.live() {
@@ -36,13 +36,13 @@
 		}
 	}
 	if len(l) == 0 || !s.budget.Spend() {
-		return nil, &AttemptError{Cause: errNoSpill}
+		return nil, &AttemptError{Cause: errNoOtherDataCentre}
 	}
-	return s.to(ctx, l[rand.IntN(len(l))], q)
+	return s.send(ctx, l[rand.IntN(len(l))], q)
 }
 
 // member returns the live member with the name, or false.
-func (s *Spill) member(name string) (peers.Member, bool) {
+func (s *Relay) member(name string) (peers.Member, bool) {
 	for _, m := range s.live() {
 		if m.Name == name {
 			return m, true
@@ -51,19 +51,19 @@
 	return peers.Member{}, false
 }
 
-// to sends the request to the member. The error is an *AttemptError.
-func (s *Spill) to(ctx context.Context, m peers.Member, q *intake) (*Reply, error) {
+// send sends the request to the member. The error is an *AttemptError.
+func (s *Relay) send(ctx context.Context, m peers.Member, q *acceptedRequest) (*Reply, error) {
 	c := q.call
 	c.Header = c.Header.Clone()
 	c.Header.Set(common.HeaderHop, s.token)
 	c.Header.Set(common.HeaderDeadline, q.deadline.Format(time.RFC3339Nano))
 	c.Header.Set(common.HeaderClass, q.class.String())
-	c.Header.Set(common.HeaderRepeatable, strconv.FormatBool(!q.once))
+	c.Header.Set(common.HeaderRepeatable, strconv.FormatBool(!q.atMostOnce))
 	c.Header.Set(common.HeaderID, c.ID)
 	switch {
 	case q.issued != nil:
 		c.Header.Set(common.HeaderKey, q.issued.String())
-	case q.keyed:
+	case q.hasKey:
 		c.Header.Set(common.HeaderKey, c.ID)
 	}
 	return s.runner.Run(ctx, m.Caller, c)
--- a/request/verdict_test.go
+++ b/request/verdict_test.go
@@ -27,19 +27,19 @@
 // with targets and claims that fail in every way. The oracle counts the runs of
 // each id and remembers what its callers heard.
 type verdictModel struct {
-	t       *rapid.T
-	servers []*Server
-	claimed map[uuid.UUID]bool
-	runs    map[string]int
-	heard   map[string][]common.Verdict
-	once    map[string]bool
-	ids     []string
-	depth   int
-	// gone says that the first entry host takes the second for dead.
-	gone bool
-	mu   sync.Mutex
-	// left are the targets that have left by the view.
-	left map[string]bool
+	t        *rapid.T
+	servers  []*Server
+	claimed  map[uuid.UUID]bool
+	runs     map[string]int
+	verdicts map[string][]common.Verdict
+	once     map[string]bool
+	ids      []string
+	depth    int
+	// peerDead says that the first entry host takes the second for dead.
+	peerDead bool
+	mu       sync.Mutex
+	// removed are the targets that have left by the view.
+	removed map[string]bool
 }
 
 // entryAddress is where the second entry host listens for callers.
@@ -48,7 +48,7 @@
 func newVerdictModel(t *rapid.T) *verdictModel {
 	m := &verdictModel{
 		t: t, claimed: map[uuid.UUID]bool{}, runs: map[string]int{},
-		heard: map[string][]common.Verdict{}, once: map[string]bool{}, left: map[string]bool{},
+		verdicts: map[string][]common.Verdict{}, once: map[string]bool{}, removed: map[string]bool{},
 	}
 	for n := range 2 {
 		m.servers = append(m.servers, m.newServer(n))
@@ -58,7 +58,7 @@
 
 // live is the members that the first entry host holds to be alive.
 func (m *verdictModel) live() []peers.Member {
-	if m.gone {
+	if m.peerDead {
 		return nil
 	}
 	return []peers.Member{{Name: "e1", Incarnation: 1, Caller: entryAddress, DataCentre: "north"}}
@@ -79,17 +79,17 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	return NewServer(common.Quiet(), Parts{
-		Config:     func() *config.Snapshot { return &config.Snapshot{Document: doc} },
-		Dispatcher: NewDispatcher(s, time.Now),
-		Claims:     m,
-		Runner:     m,
-		Hosts:      m,
-		Spill:      NewSpill("north", "hop", m.live, m),
-		HopToken:   "hop",
-		Issuer:     NewIssuer(fmt.Sprint("e", n), 1),
-		Metrics:    metrics,
-		Pulse:      common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
+	return NewServer(common.Quiet(), ServerOptions{
+		Config:        func() *config.Snapshot { return &config.Snapshot{Document: doc} },
+		Dispatcher:    NewDispatcher(s, time.Now),
+		Claims:        m,
+		Runner:        m,
+		Hosts:         m,
+		Relay:         NewRelay("north", "hop", m.live, m),
+		HopToken:      "hop",
+		Issuer:        NewIssuer(fmt.Sprint("e", n), 1),
+		Metrics:       metrics,
+		PauseDetector: common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
 	})
 }
 
@@ -101,17 +101,17 @@
 func (m *verdictModel) Address(name string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.left[name] && rapid.IntRange(0, 9).Draw(m.t, "left") == 0 {
-		m.left[name] = true
-		time.AfterFunc(time.Millisecond, func() { m.back(name) })
+	if !m.removed[name] && rapid.IntRange(0, 9).Draw(m.t, "left") == 0 {
+		m.removed[name] = true
+		time.AfterFunc(time.Millisecond, func() { m.returnTarget(name) })
 	}
-	return netip.MustParseAddrPort("127.0.0.1:1"), !m.left[name]
+	return netip.MustParseAddrPort("127.0.0.1:1"), !m.removed[name]
 }
 
-// back has the view by which the target is back handed on.
-func (m *verdictModel) back(name string) {
+// returnTarget has the view by which the target is back handed on.
+func (m *verdictModel) returnTarget(name string) {
 	m.mu.Lock()
-	delete(m.left, name)
+	delete(m.removed, name)
 	m.mu.Unlock()
 	for _, s := range m.servers {
 		s.Dispatcher.Update(func(c *Scheduler) { c.SetTargets(verdictTargets) })
@@ -120,7 +120,7 @@
 
 // Claim is part of Claims: its answer may be lost before or after it counts.
 func (m *verdictModel) Claim(_ context.Context, id uuid.UUID) ClaimOutcome {
-	m.meanwhile()
+	m.interleave()
 	fate := rapid.IntRange(0, 5).Draw(m.t, "claim")
 	if fate == 0 {
 		return ClaimUnknown
@@ -135,29 +135,29 @@
 	return ClaimGranted
 }
 
-var errCut = errors.New("cut")
+var errConnCut = errors.New("cut")
 
 // Run is part of Runner: a target that is not reached, that runs and whose
 // answer is lost, that fails, or that answers.
 func (m *verdictModel) Run(_ context.Context, a netip.AddrPort, c Call) (*Reply, error) {
-	m.meanwhile()
+	m.interleave()
 	if a == entryAddress {
 		return m.relay(c)
 	}
 	switch rapid.IntRange(0, 5).Draw(m.t, "run") {
 	case 0:
-		return nil, &AttemptError{Cause: errCut}
+		return nil, &AttemptError{Cause: errConnCut}
 	case 1:
-		return nil, &AttemptError{Sent: true, Cause: errCut}
+		return nil, &AttemptError{Sent: true, Cause: errConnCut}
 	case 2:
 		m.runs[c.ID]++
-		return nil, &AttemptError{Sent: true, Cause: errCut}
+		return nil, &AttemptError{Sent: true, Cause: errConnCut}
 	case 3:
 		m.runs[c.ID]++
 		return &Reply{Status: http.StatusInternalServerError, Header: http.Header{}}, nil
 	default:
 		m.runs[c.ID]++
-		return &Reply{Status: http.StatusOK, Header: http.Header{}, Head: []byte(c.ID)}, nil
+		return &Reply{Status: http.StatusOK, Header: http.Header{}, Buffered: []byte(c.ID)}, nil
 	}
 }
 
@@ -165,20 +165,20 @@
 func (m *verdictModel) relay(c Call) (*Reply, error) {
 	fate := rapid.IntRange(0, 4).Draw(m.t, "relay")
 	if fate == 0 {
-		return nil, &AttemptError{Cause: errCut}
+		return nil, &AttemptError{Cause: errConnCut}
 	}
 	r := httptest.NewRequest(c.Method, c.Path, bytes.NewReader(c.Body))
 	r.Header = c.Header
 	w := httptest.NewRecorder()
 	m.servers[1].ServeHTTP(w, r)
 	if fate == 1 {
-		return nil, &AttemptError{Sent: true, Cause: errCut}
+		return nil, &AttemptError{Sent: true, Cause: errConnCut}
 	}
-	return &Reply{Status: w.Code, Header: w.Header(), Head: w.Body.Bytes()}, nil
+	return &Reply{Status: w.Code, Header: w.Header(), Buffered: w.Body.Bytes()}, nil
 }
 
-// meanwhile lets another copy come in the middle of a call.
-func (m *verdictModel) meanwhile() {
+// interleave lets another copy come in the middle of a call.
+func (m *verdictModel) interleave() {
 	if m.depth < 2 && rapid.IntRange(0, 3).Draw(m.t, "meanwhile") == 0 {
 		m.depth++
 		m.send()
@@ -189,7 +189,7 @@
 // send sends a new request or a copy through one of the entry hosts.
 func (m *verdictModel) send() {
 	id := ""
-	m.gone = rapid.IntRange(0, 3).Draw(m.t, "gone") == 0
+	m.peerDead = rapid.IntRange(0, 3).Draw(m.t, "gone") == 0
 	once := rapid.Bool().Draw(m.t, "once")
 	if len(m.ids) > 0 && rapid.Bool().Draw(m.t, "copy") {
 		id = rapid.SampledFrom(m.ids).Draw(m.t, "id")
@@ -237,7 +237,7 @@
 		id = v.ID.String()
 	}
 	if id != "" {
-		m.heard[id] = append(m.heard[id], v)
+		m.verdicts[id] = append(m.verdicts[id], v)
 	}
 	if v == common.Ran && m.runs[id] == 0 {
 		m.t.Fatalf("%s heard ran and did not run", id)
@@ -252,7 +252,7 @@
 
 // end holds every verdict against what ran until the end.
 func (m *verdictModel) end() {
-	for id, l := range m.heard {
+	for id, l := range m.verdicts {
 		for _, v := range l {
 			if v == common.NotRun && m.runs[id] > 0 {
 				m.t.Fatalf("%s heard not-run and ran", id)
