--- a/job/advice.go
+++ b/job/advice.go
@@ -8,13 +8,14 @@
 	"amberway/platform"
 )
 
-// adviceRetry is the pause after a question that was not answered.
+// adviceRetry is the delay before a failed request for advice is retried.
 const adviceRetry = 300 * time.Millisecond
 
-// ticketMargin is how much of a ticket's time is left for the start's way.
+// ticketMargin is how long a ticket must still be valid when it is used, so that it has
+// not expired by the time the start reaches the worker.
 const ticketMargin = 300 * time.Millisecond
 
-// advice is what the advice service has said of one step.
+// advice holds the answers of the advice service about one step.
 type advice struct {
 	tickets map[platform.WorkerID]ticket
 	asked   map[platform.WorkerID]bool
@@ -27,18 +28,19 @@
 	until time.Time
 }
 
-// RequestAdvice asks which of the workers may run the step.
+// RequestAdvice asks the advice service which of the workers may run the step.
 type RequestAdvice struct {
 	Step    string
 	Workers []platform.WorkerID
-	// Terms say how long the service takes.
+	// Terms say how long the service takes to answer.
 	Terms platform.AdviceTerms
 	Key   taskKey
 }
 
 func (RequestAdvice) action() {}
 
-// AdviceResult is the outcome of an AskAdvice.
+// AdviceResult is the outcome of a RequestAdvice. Workers that were asked about and got no
+// ticket may not run the step.
 type AdviceResult struct {
 	Key     taskKey
 	Asked   []platform.WorkerID
@@ -47,14 +49,14 @@
 	Err     error
 }
 
-// adviceName is the name of a step at the advice service.
+// adviceName returns the name by which the advice service knows the step.
 func (s *step) adviceName() string {
 	n := s.of
 	return string(n.job.id) + "." + strconv.Itoa(n.k) + "." + strconv.Itoa(s.index)
 }
 
-// adviceTicket returns the ticket for the step on the worker. Where there is none
-// it asks for all workers of the pool that could run the step.
+// adviceTicket returns the ticket for the step on the worker. If there is none, it
+// requests tickets for all workers of the pool that could run the step.
 func (c *Core) adviceTicket(s *step, w *worker) (string, bool) {
 	if s.advice == nil {
 		s.advice = &advice{tickets: map[platform.WorkerID]ticket{}, asked: map[platform.WorkerID]bool{}}
@@ -75,8 +77,8 @@
 	for _, w := range c.pools[s.of.job.queue.Service] {
 		t, has := a.tickets[w.ID]
 		fresh := has && c.now.Add(ticketMargin).Before(t.until)
-		refused := a.asked[w.ID] && !has
-		if !fresh && !refused && w.fitsEmpty(s.Step) && (s.Requires == "" || slices.Contains(w.Labels, s.Requires)) {
+		rejected := a.asked[w.ID] && !has
+		if !fresh && !rejected && w.fitsEmpty(s.Step) && (s.Requires == "" || slices.Contains(w.Labels, s.Requires)) {
 			l = append(l, w.ID)
 		}
 	}
@@ -97,7 +99,7 @@
 	return !has
 }
 
-// apply takes in what the advice service has said.
+// apply records the tickets that the advice service has issued.
 func (e AdviceResult) apply(c *Core) {
 	t := c.task(e.Key)
 	if t == nil || t.of.advice == nil {
@@ -107,7 +109,7 @@
 	a.pending = false
 	if e.Err != nil {
 		a.retryAt = c.now.Add(adviceRetry)
-		c.emit(LogLine{What: "advice not had", Job: e.Key.id, Why: e.Err.Error()})
+		c.emit(LogLine{What: "advice request failed", Job: e.Key.id, Why: e.Err.Error()})
 		return
 	}
 	for _, id := range e.Asked {
--- a/job/arrivals.go
+++ b/job/arrivals.go
@@ -5,38 +5,36 @@
 	"time"
 )
 
-// Figures of the forecast of the work that comes in.
+// Parameters of the forecast of arriving work.
 const (
-	// arrivalWindow is the time over which the work that comes in is averaged:
-	// load turns from one queue to another within some seconds.
+	// arrivalWindow is the time constant of the long average of arriving work. Load
+	// shifts from one queue to another within some seconds.
 	arrivalWindow = 1200 * time.Millisecond
-	// riseWindow is the shorter time whose average shows a rise first.
+	// riseWindow is the time constant of the short average, which shows a rise first.
 	riseWindow = 500 * time.Millisecond
-	// noiseDeviations is how many standard deviations of the short average a rise
-	// has to exceed: docs/DESIGN.md weighs 0, 0.5 and 1.
+	// noiseDeviations is how many standard deviations of the short average a rise has to
+	// exceed to count as one. docs/DESIGN.md compares 0, 0.5 and 1.
 	noiseDeviations = 1.0
-	// moveDuration is how long a host takes from the decision to its first task: a
-	// second and a half for the move, and two tenths until it is listed and has
-	// answered.
+	// moveDuration is the time from the decision to move a host to its first task: 1.5 s
+	// for the move, and 0.2 s until the worker is listed and has answered.
 	moveDuration = 1700 * time.Millisecond
 )
 
-// average is a decayed mean of the work that comes in, in cores.
+// average is an exponentially decaying average of arriving work, in cores.
 type average struct {
 	window time.Duration
 	rate   float64
 	at     time.Time
 }
 
-// add counts work, in core-milliseconds, that came at a time, which may have
-// passed.
+// add counts work, in core-milliseconds, that arrived now or earlier.
 func (a *average) add(work float64, came, now time.Time) {
 	a.value(now)
 	age := max(0, now.Sub(came))
 	a.rate += work / float64(a.window.Milliseconds()) * math.Exp(-float64(age)/float64(a.window))
 }
 
-// value returns the mean as of now.
+// value returns the average as of now.
 func (a *average) value(now time.Time) float64 {
 	if d := now.Sub(a.at); d > 0 && !a.at.IsZero() {
 		a.rate *= math.Exp(-float64(d) / float64(a.window))
@@ -45,11 +43,11 @@
 	return a.rate
 }
 
-// arrivals are the work that comes in for one service.
+// arrivals tracks the work that arrives for one service.
 type arrivals struct {
 	long, short average
-	// squares is the mean of the squares of the work of single jobs, from which
-	// the chance in the short average is told.
+	// squares averages the squared work of single jobs. It gives the variance of the
+	// short average.
 	squares average
 }
 
@@ -68,13 +66,13 @@
 	a.squares.add(work*work, came, now)
 }
 
-// forecast returns the work that is to be expected once a host that is moved now
-// takes tasks, in cores: what comes now or, where it rises by more than chance
-// brings, what it will have risen to by then.
+// forecast returns the load to expect, in cores, by the time a host that is moved now runs
+// tasks. If arrivals rise by more than random variation explains, the rise is extrapolated;
+// otherwise it is the long average.
 func (a *arrivals) forecast(now time.Time) float64 {
 	long, short := a.long.value(now), a.short.value(now)
-	chance := math.Sqrt(a.squares.value(now)*float64(a.squares.window.Milliseconds())) / float64(riseWindow.Milliseconds())
-	rise := short - long - noiseDeviations*chance
+	deviation := math.Sqrt(a.squares.value(now)*float64(a.squares.window.Milliseconds())) / float64(riseWindow.Milliseconds())
+	rise := short - long - noiseDeviations*deviation
 	if rise <= 0 {
 		return long
 	}
--- a/job/bucket.go
+++ b/job/bucket.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// tokenBucket is what may be spent by now, where so much more may be each second and some of
-// it is saved up.
+// tokenBucket limits a rate. The caller passes rate and capacity to each refill, as both
+// may change.
 type tokenBucket struct {
-	// tokens is below zero where more was spent than there was.
+	// tokens is negative if more was spent than there was.
 	tokens   float64
 	filledAt time.Time
 }
 
-// refill adds what has come in by now, up to the most that is saved up.
-func (b *tokenBucket) refill(now time.Time, perSecond, most float64) {
+// refill adds the tokens earned since the last refill, up to the capacity.
+func (b *tokenBucket) refill(now time.Time, perSecond, capacity float64) {
 	if d := now.Sub(b.filledAt); d > 0 {
-		b.tokens = min(most, b.tokens+perSecond*d.Seconds())
+		b.tokens = min(capacity, b.tokens+perSecond*d.Seconds())
 		b.filledAt = now
 	}
 }
--- a/job/demand.go
+++ b/job/demand.go
@@ -9,10 +9,11 @@
 	"amberway/platform"
 )
 
-// recordArrival counts the work of a job that came at the time. Of the jobs that an
-// owner takes over most came long ago, and say nothing of what comes now; work of a team
-// that is beyond its cap does not run before other work of it has ended.
-func (c *Core) recordArrival(j *job, came time.Time) {
+// recordArrival adds the work of a job to the arrivals of its service. The time of arrival
+// counts, since most jobs that an owner takes over arrived long ago and say nothing about
+// the present load. Work of a team at its cap is left out: it cannot run before other work
+// of the team has ended.
+func (c *Core) recordArrival(j *job, arrivedAt time.Time) {
 	if !j.team.mayUse(j.Steps[0].Resources, 1) {
 		return
 	}
@@ -28,11 +29,11 @@
 		a = newArrivals()
 		c.balance.arrivals[j.queue.Service] = a
 	}
-	a.add(work, came, c.now)
+	a.add(work, arrivedAt, c.now)
 }
 
-// recordDemand notes what waits without room after placement. What waits for the cap of its
-// team needs no hosts.
+// recordDemand records the demand of tasks that found no room in a placement pass. Tasks
+// that wait for their team's cap need no hosts and are left out.
 func (c *Core) recordDemand(service string, l []candidate) {
 	var r platform.Resources
 	c.teams.startCount()
@@ -46,48 +47,49 @@
 	c.balance.unplaced[service] = r
 }
 
-// demand is how many hosts a pool wants and has.
+// demand compares the number of hosts that a pool needs with the number it has.
 type demand struct {
 	service string
 	want    int
-	// have counts the hosts that take tasks or are on their way.
+	// have counts the hosts that are in service or on their way to the pool.
 	have int
-	// hasUnplaced says that tasks wait without room.
+	// hasUnplaced says that tasks are waiting for room on a worker.
 	hasUnplaced bool
 }
 
-// logPools logs now and then what each pool wants and has.
+// logPools logs the demand and load of each pool once per poolLogInterval.
 func (c *Core) logPools(plan []demand) {
 	if c.now.Before(c.balance.logAt) {
 		return
 	}
 	c.balance.logAt = c.now.Add(poolLogInterval)
 	for _, d := range plan {
-		var used, room platform.Resources
+		var used, capacity platform.Resources
 		for _, w := range c.pools[d.service] {
 			used.MilliCores += w.used.MilliCores
 			used.MemoryMB += w.used.MemoryMB
-			room.MilliCores += w.Capacity.MilliCores
-			room.MemoryMB += w.Capacity.MemoryMB
+			capacity.MilliCores += w.Capacity.MilliCores
+			capacity.MemoryMB += w.Capacity.MemoryMB
 		}
-		wait := c.balance.unplaced[d.service]
+		unplaced := c.balance.unplaced[d.service]
 		c.emit(LogLine{What: "pool", Fields: []any{
 			"service", d.service, "want", d.want, "have", d.have,
-			"cores_used", used.MilliCores / 1000, "cores", room.MilliCores / 1000, "cores_waiting", wait.MilliCores / 1000,
-			"mb_used", used.MemoryMB, "mb", room.MemoryMB,
+			"cores_used", used.MilliCores / 1000, "cores", capacity.MilliCores / 1000, "cores_waiting", unplaced.MilliCores / 1000,
+			"mb_used", used.MemoryMB, "mb", capacity.MemoryMB,
 		}})
 	}
 }
 
-// poolDemands returns what each pool wants and has, the shortest first.
+// poolDemands returns the demand of every pool but the spare pool, the largest shortage
+// first.
 func (c *Core) poolDemands(spare string) []demand {
 	var l []demand
-	coming := c.inboundHosts()
+	inbound := c.inboundHosts()
 	for _, s := range c.config.Services {
 		if s.Name == spare {
 			continue
 		}
-		d := demand{service: s.Name, want: c.wantedHosts(s.Name), have: coming[s.Name]}
+		d := demand{service: s.Name, want: c.wantedHosts(s.Name), have: inbound[s.Name]}
 		for _, w := range c.pools[s.Name] {
 			if c.inService(w) {
 				d.have++
@@ -102,14 +104,15 @@
 	return l
 }
 
-// inService reports whether the worker is one that its pool has: it takes tasks, or
-// will once it has answered.
+// inService reports whether the worker counts as a host of its pool: it accepts starts, or
+// will do so once it has answered.
 func (c *Core) inService(w *worker) bool {
-	ends := w.Draining || w.leaving || w.stale || w.tainted
-	return !ends && w.missedPolls < maxMissedPolls && c.listedByHost[w.Host] == w
+	ending := w.Draining || w.leaving || w.stale || w.tainted
+	return !ending && w.missedPolls < maxMissedPolls && c.listedByHost[w.Host] == w
 }
 
-// wantedHosts returns how many hosts a pool needs for what runs, waits and comes in.
+// wantedHosts returns how many hosts a pool needs for its running, waiting and expected
+// tasks.
 func (c *Core) wantedHosts(service string) int {
 	need := c.balance.unplaced[service]
 	host := platform.Resources{}
@@ -126,21 +129,22 @@
 	if host.MilliCores == 0 || host.MemoryMB == 0 {
 		return 0
 	}
-	soon := c.upcomingDemand(service, c.now.Add(moveDuration))
-	need.MilliCores = max(need.MilliCores, soon.MilliCores)
-	need.MemoryMB = max(need.MemoryMB, soon.MemoryMB)
+	upcoming := c.upcomingDemand(service, c.now.Add(moveDuration))
+	need.MilliCores = max(need.MilliCores, upcoming.MilliCores)
+	need.MemoryMB = max(need.MemoryMB, upcoming.MemoryMB)
 	cores := float64(need.MilliCores)
 	if a := c.balance.arrivals[service]; a != nil {
 		cores = max(cores, a.forecast(c.now)*1000+float64(c.lastingCores(service)))
 	}
-	share := max(cores/float64(host.MilliCores), float64(need.MemoryMB)/float64(host.MemoryMB))
-	if share > 0 {
-		hosts = int(math.Ceil(share*(1+poolHeadroom) + freeHostFraction))
+	fullHosts := max(cores/float64(host.MilliCores), float64(need.MemoryMB)/float64(host.MemoryMB))
+	if fullHosts > 0 {
+		hosts = int(math.Ceil(fullHosts*(1+poolHeadroom) + freeHostFraction))
 	}
 	return max(hosts, c.hostsForSpread(service))
 }
 
-// lastingCores is what the lasting tasks of a pool take.
+// lastingCores returns the cores, in thousandths, that lasting tasks use in a pool. They
+// are not part of the arrivals.
 func (c *Core) lastingCores(service string) int64 {
 	var n int64
 	for _, w := range c.pools[service] {
@@ -153,8 +157,8 @@
 	return n
 }
 
-// hostsForSpread returns how many hosts the bounds on tasks of one step on one worker
-// ask for. Jobs that may not run yet ask for none.
+// hostsForSpread returns how many hosts a pool needs so that every unblocked step can keep
+// to its MaxPerWorker. Jobs that may not run yet are left out.
 func (c *Core) hostsForSpread(service string) int {
 	most := 0
 	for _, j := range c.active {
@@ -172,7 +176,8 @@
 	return most
 }
 
-// anyHostCapacity returns the capacity of some machine, for a pool that has none.
+// anyHostCapacity returns the capacity of an arbitrary machine, as an estimate for a pool
+// without workers.
 func (c *Core) anyHostCapacity() platform.Resources {
 	for _, m := range c.machinesByName {
 		return m.Capacity
@@ -180,7 +185,7 @@
 	return platform.Resources{}
 }
 
-// inboundHosts counts the hosts on their way to each pool.
+// inboundHosts counts the hosts that are on their way to each pool.
 func (c *Core) inboundHosts() map[string]int {
 	n := map[string]int{}
 	for _, m := range c.machinesByName {
--- a/job/dormant.go
+++ b/job/dormant.go
@@ -1,17 +1,17 @@
 package job
 
-// A worker in a spare pool that no queue names has nothing to do: it gets no starts, from
-// this owner or any other, and its machine gets another life when it is fetched. It is not
-// looked at, and no next owner has to look for it. While 3,000 machines went to the spare
-// pool, first looks on new connections took a sixth of an owner's processor time.
+// A worker in a spare pool that no queue names is dormant: no owner sends it starts, and
+// its machine starts a new incarnation when it is moved to another pool. It is not polled
+// and not kept in the roster. Polling 3,000 machines that had moved to the spare pool, each
+// on a new connection, took a sixth of an owner's processor time.
 
 // dormant reports whether nothing can run on the worker.
 func (c *Core) dormant(w *worker) bool {
 	return c.dormantPools[w.Service] && !w.contacted && !w.inherited && !w.inRoster
 }
 
-// updateDormant finds the pools whose workers have nothing to do in the configuration, and
-// takes up those whose pool is in service now.
+// updateDormant applies the configuration to dormantPools, and starts to poll the workers
+// of pools that are no longer dormant.
 func (c *Core) updateDormant() {
 	before := c.dormantPools
 	c.dormantPools = map[string]bool{}
--- a/job/explain.go
+++ b/job/explain.go
@@ -10,7 +10,8 @@
 	"amberway/platform"
 )
 
-// Overview is what an owner knows, at a glance.
+// Overview summarizes the state of an entry host and, on the owner's, that of its queues,
+// teams, pools and waves.
 type Overview struct {
 	Name    string          `json:"name"`
 	Owner   Owner           `json:"owner"`
@@ -28,7 +29,7 @@
 	Watches int64            `json:"platform_watches"`
 }
 
-// QueueOverview is one queue at a glance.
+// QueueOverview summarizes one queue.
 type QueueOverview struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
@@ -36,23 +37,23 @@
 	Running int    `json:"running"`
 }
 
-// TeamOverview is one team at a glance.
+// TeamOverview summarizes one team.
 type TeamOverview struct {
 	Name   string             `json:"name"`
 	Weight float64            `json:"weight"`
 	Cap    platform.Resources `json:"cap"`
 	Used   platform.Resources `json:"used"`
-	// Running and Waiting count its jobs, Beyond those that wait behind others as they are
-	// beyond its share.
+	// Running and Waiting count its jobs, Beyond those that exceed its share and so wait
+	// behind the jobs of other teams.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Beyond  int `json:"beyond"`
-	// InTime and Late count the jobs that were done.
+	// InTime and Late count the jobs that have finished.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
 }
 
-// PoolOverview is one pool at a glance.
+// PoolOverview summarizes one pool.
 type PoolOverview struct {
 	Service  string             `json:"service"`
 	Workers  int                `json:"workers"`
@@ -62,7 +63,7 @@
 	Capacity platform.Resources `json:"capacity"`
 }
 
-// WaveOverview is one wave at a glance.
+// WaveOverview summarizes one maintenance wave.
 type WaveOverview struct {
 	Number int64     `json:"number"`
 	Left   int       `json:"left"`
@@ -71,7 +72,7 @@
 	Done   bool      `json:"done"`
 }
 
-// Explanation is what an owner knows of one job.
+// Explanation describes the state of one job, and what it waits for.
 type Explanation struct {
 	ID      ID                `json:"id"`
 	State   platform.State    `json:"state"`
@@ -85,7 +86,7 @@
 	Steps   []StepExplanation `json:"steps"`
 }
 
-// StepExplanation is one step of a job's time.
+// StepExplanation describes one step of an instance of a job.
 type StepExplanation struct {
 	Time  int           `json:"time"`
 	Step  int           `json:"step"`
@@ -95,7 +96,7 @@
 	Runs  []RunOverview `json:"runs,omitempty"`
 }
 
-// RunOverview is one run of a task.
+// RunOverview summarizes one run of a task.
 type RunOverview struct {
 	Task    string            `json:"task"`
 	Run     int64             `json:"run"`
@@ -104,7 +105,7 @@
 	SentAt  time.Time         `json:"sent_at"`
 }
 
-// Overview returns what the core knows at a glance.
+// Overview summarizes the state of the core.
 func (c *Core) Overview() Overview {
 	o := Overview{Fence: c.fence, Version: c.config.Version}
 	for _, q := range c.config.Queues {
@@ -173,7 +174,7 @@
 	p.Capacity.MemoryMB += w.Capacity.MemoryMB
 }
 
-// Explain returns what the core knows of a job.
+// Explain describes a job.
 func (c *Core) Explain(id ID) (Explanation, bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -197,7 +198,7 @@
 	return e, true
 }
 
-// What a step's tasks wait for.
+// Reasons why tasks of a step wait.
 const (
 	waitsForSteps = "for the steps before it"
 	waitsForCap   = "over the team's cap"
@@ -222,7 +223,7 @@
 	return v
 }
 
-// overview returns what this host knows at a glance.
+// overview summarizes the state of this host.
 func (n *Node) overview() Overview {
 	var o Overview
 	if w := n.localOwner(); w != nil {
--- a/job/full.go
+++ b/job/full.go
@@ -9,61 +9,64 @@
 	"amberway/platform"
 )
 
-// Times of judging whether queues are full.
+// Times of admission control.
 const (
-	// admissionInterval is the time between two judgements, each of which may be a write that
-	// every entry host hears of.
+	// admissionInterval is the time between two evaluations. Each may cause a write that
+	// every entry host is notified of.
 	admissionInterval = 500 * time.Millisecond
-	// heldStartsWindow is how long starts that were held back say that the owner cannot
-	// send all.
+	// heldStartsWindow is how long the owner counts as overloaded after it last held back a
+	// start.
 	heldStartsWindow = time.Second
-	// judgeByRateFor is how long an owner that finds full queues judges them by what it may
-	// send: on a link of 2 Mbit/s the first answers of 180 workers take 1.5 s, and
-	// starts go out after that.
+	// judgeByRateFor is how long a new owner that inherits limited queues evaluates them by
+	// its permitted send rate. On a link of 2 Mbit/s the first answers of 180 workers take
+	// 1.5 s, and starts are sent only after that.
 	judgeByRateFor = 4 * time.Second
-	// admissionTTL is how long an owner's word that a queue is full holds without that
-	// owner: three takeovers in a row on a link of 2 Mbit/s.
+	// admissionTTL is how long a policy stays in force once its owner is replaced. It covers
+	// three takeovers in a row on a link of 2 Mbit/s.
 	admissionTTL = 20 * time.Second
 )
 
-// admissionKey holds which queues are full, beside the owner's key: entry hosts follow both.
+// admissionKey holds the AdmissionPolicy. It is under the owner's key, so that entry hosts
+// watch both at once.
 const admissionKey = ownerKey + "/full"
 
-// AdmissionPolicy says of which queues only some jobs are taken for now, or none.
+// AdmissionPolicy says for which queues only a fraction of the jobs is admitted at present.
+// The owner publishes it and every entry host enforces it.
 type AdmissionPolicy struct {
-	// Fence is that of the owner that says so.
+	// Fence is the fence of the owner that published the policy.
 	Fence platform.Fence `json:"f"`
-	// Admissions are what is taken, by the queues' priority; all where there is none.
+	// Admissions are the limits by priority of the queues. A priority without one is not
+	// limited.
 	Admissions map[int]Admission `json:"r,omitempty"`
-	// TeamFractions are which parts of that are taken of the teams that send more than their
-	// shares, from 0 to 1; all of the others'.
+	// TeamFractions further limit teams that send more than their shares: each is the
+	// fraction, from 0 to 1, of the otherwise admitted jobs of that team.
 	TeamFractions map[string]float64 `json:"p,omitempty"`
 }
 
 func decodeAdmissionPolicy(v platform.Entry) (AdmissionPolicy, error) {
 	var f AdmissionPolicy
 	if err := json.Unmarshal(v.Value, &f); err != nil {
-		return AdmissionPolicy{}, fmt.Errorf("job: full queues: %w", err)
+		return AdmissionPolicy{}, fmt.Errorf("job: admission policy: %w", err)
 	}
 	return f, nil
 }
 
-// admissionState is what the owner has said of its queues.
+// admissionState is the owner's state of admission control.
 type admissionState struct {
 	judgeAt time.Time
-	// admissions are what is taken, told what was last said of that.
+	// admissions are the current limits, published those in the last published policy.
 	admissions, published map[int]Admission
-	// publishedFractions is what was last said of teams beyond their shares.
+	// publishedFractions are the team fractions of the last published policy.
 	publishedFractions map[string]float64
-	// inherited says that an earlier owner's word still holds, so that this owner has to
-	// say its own, be it the same.
+	// inherited says that an earlier owner's policy is still in force. This owner has to
+	// publish its own even if it is the same, since the earlier one expires.
 	inherited bool
-	// judgeByRateUntil is until when the queues are judged by what may be sent, though no
-	// start was held back: those of earlier owners' jobs have yet to begin.
+	// judgeByRateUntil is until when pending starts are compared with the send rate although
+	// no start was held back: the owner has yet to start the jobs it has inherited.
 	judgeByRateUntil time.Time
 }
 
-// inheritAdmission takes over what an earlier owner has said of the queues.
+// inheritAdmission continues with the policy of the previous owner.
 func (c *Core) inheritAdmission(f AdmissionPolicy) {
 	c.admission.admissions, c.admission.published = f.Admissions, f.Admissions
 	c.admission.inherited = len(f.Admissions) > 0
@@ -72,7 +75,7 @@
 	}
 }
 
-// reconcileAdmission tells entry hosts which queues are full, if that has changed.
+// reconcileAdmission evaluates the limits and publishes them if they have changed.
 func (c *Core) reconcileAdmission() {
 	if c.now.Before(c.admission.judgeAt) {
 		return
@@ -81,24 +84,24 @@
 	c.admission.admissions = c.nextAdmissions()
 	admissions := maps.Clone(c.admission.admissions)
 	maps.DeleteFunc(admissions, func(_ int, a Admission) bool { return a.Fraction >= 1 })
-	parts := c.teams.adjustFractions(len(c.admission.published) > 0, len(admissions) > 0)
+	fractions := c.teams.adjustFractions(len(c.admission.published) > 0, len(admissions) > 0)
 	same := maps.EqualFunc(admissions, c.admission.published, func(a, b Admission) bool { return !a.differs(b) }) &&
-		sameFractions(parts, c.admission.publishedFractions)
+		sameFractions(fractions, c.admission.publishedFractions)
 	if same && !c.admission.inherited {
 		return
 	}
-	c.admission.published, c.admission.publishedFractions = admissions, parts
+	c.admission.published, c.admission.publishedFractions = admissions, fractions
 	c.admission.inherited = false
-	b, err := json.Marshal(AdmissionPolicy{Fence: c.fence, Admissions: admissions, TeamFractions: parts})
+	b, err := json.Marshal(AdmissionPolicy{Fence: c.fence, Admissions: admissions, TeamFractions: fractions})
 	if err != nil {
-		c.emit(LogLine{What: "full queues not encoded", Why: err.Error()})
+		c.emit(LogLine{What: "admission policy not encoded", Why: err.Error()})
 		return
 	}
 	c.emit(LogLine{What: "full", Fields: []any{"admissions", string(b), "starts_per_s", int(c.flow.startRate)}})
 	c.queueWrite([]platform.Put{{Key: admissionKey, Value: b}}, nil)
 }
 
-// nextAdmissions returns what is taken of each priority.
+// nextAdmissions returns the limits by priority after one more evaluation.
 func (c *Core) nextAdmissions() map[int]Admission {
 	admissions := map[int]Admission{}
 	if !c.now.Before(c.admission.judgeByRateUntil) && (c.flow.startRate == 0 || c.now.Sub(c.flow.startsHeldAt) > heldStartsWindow) {
@@ -107,14 +110,14 @@
 		}
 		return admissions
 	}
-	wait := c.countPendingStarts()
+	pending := c.countPendingStarts()
 	for _, q := range c.config.Queues {
-		if _, judged := admissions[q.Priority]; judged {
+		if _, done := admissions[q.Priority]; done {
 			continue
 		}
-		w := wait.upTo(q.Priority)
-		a, was := c.admission.admissions[q.Priority]
-		if !was {
+		w := pending.upTo(q.Priority)
+		a, known := c.admission.admissions[q.Priority]
+		if !known {
 			a = Admission{Fraction: 1}
 		}
 		admissions[q.Priority] = a.adjust(c.flow.timeToSend(w.inTime), c.flow.timeToSend(w.inTime+w.late))
@@ -122,16 +125,16 @@
 	return admissions
 }
 
-// pendingStarts counts tasks that have yet to start.
+// pendingStarts counts tasks that are waiting to start.
 type pendingStarts struct {
-	// inTime are those of jobs that can still be in time, late the others.
+	// inTime counts those of jobs whose deadline has not passed, late the others.
 	inTime, late int
 }
 
-// pendingByPriority are counts by priority.
+// pendingByPriority holds the pending starts of each priority.
 type pendingByPriority map[int]pendingStarts
 
-// upTo returns what goes before a queue of the priority, or with it.
+// upTo returns the pending starts of the priority and of all more urgent ones.
 func (l pendingByPriority) upTo(priority int) pendingStarts {
 	var n pendingStarts
 	for p, w := range l {
@@ -143,8 +146,7 @@
 	return n
 }
 
-// countPendingStarts counts the tasks that have yet to start. Lasting ones are few, and wait
-// again only when they end.
+// countPendingStarts counts the tasks that are waiting to start.
 func (c *Core) countPendingStarts() pendingByPriority {
 	l := pendingByPriority{}
 	for _, j := range c.active {
@@ -162,7 +164,8 @@
 	return l
 }
 
-// unstarted counts the tasks of the instance that have yet to start.
+// unstarted counts the tasks of the instance that are waiting to start. Lasting tasks are
+// left out: they are few, and wait again only after they end.
 func (i *instance) unstarted() int {
 	n := 0
 	for _, s := range i.steps {
@@ -173,7 +176,7 @@
 	return n
 }
 
-// applyAdmissionPolicy notes which queues are full.
+// applyAdmissionPolicy puts a published policy in force on this entry host.
 func (e *election) applyAdmissionPolicy(v platform.Entry) {
 	f, err := decodeAdmissionPolicy(v)
 	if err != nil {
@@ -186,19 +189,19 @@
 	e.admissionAt = e.now()
 }
 
-// refusedUntil returns when the caller of a job is to come back, or false where it is taken.
-// What an owner has said holds until the next one says what it finds: the reads of a
-// takeover take seconds on a narrow link, and all that is taken meanwhile waits behind
-// what the queue was full of.
-func (e *election) refusedUntil(id ID, c caller) (at time.Time, why string, full bool) {
+// refusedUntil returns when a refused caller may retry and why the job is refused, or false
+// if it is admitted. A policy outlives its owner until the next owner publishes its own: on
+// a narrow link a takeover takes seconds, and jobs accepted meanwhile would queue behind the
+// backlog that the policy was made for.
+func (e *election) refusedUntil(id ID, c caller) (at time.Time, why string, limited bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a, full := e.admission.Admissions[c.queue.Priority]
-	part, beyond := e.admission.TeamFractions[c.team.Name]
-	if !beyond {
-		part = 1
+	a, limited := e.admission.Admissions[c.queue.Priority]
+	fraction, overShare := e.admission.TeamFractions[c.team.Name]
+	if !overShare {
+		fraction = 1
 	}
-	if !full || a.admits(id, part) || (e.admission.Fence != e.current.Fence && e.now().After(e.admissionAt.Add(admissionTTL))) {
+	if !limited || a.admits(id, fraction) || (e.admission.Fence != e.current.Fence && e.now().After(e.admissionAt.Add(admissionTTL))) {
 		return time.Time{}, "", false
 	}
 	why = refusedFull
--- a/job/gang.go
+++ b/job/gang.go
@@ -1,6 +1,6 @@
 package job
 
-// placeGang starts all tasks of a gang if there is room for all of them.
+// placeGang starts all tasks of a gang at once, or none if there is no room for all.
 func (c *Core) placeGang(free []*worker, s *step) {
 	if s.idle < s.remaining || s.remaining < len(s.tasks) {
 		return
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// planGang returns a worker for each task of the gang, or nil. It charges the
-// workers while it plans, so that their room is counted once.
+// planGang returns a worker for each task of the gang, or nil if they do not all fit. While
+// it plans, it charges each chosen worker so that no capacity is used twice.
 func (c *Core) planGang(free []*worker, s *step) []*worker {
 	var plan []*worker
 	defer func() {
@@ -79,7 +79,7 @@
 	return append([]*worker(nil), plan...)
 }
 
-// stopGang stops what is left of a run of a gang of which a member has ended.
+// stopGang stops the other members of a gang's run after one of them has ended.
 func (c *Core) stopGang(s *step, number int64) {
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
--- a/job/intake.go
+++ b/job/intake.go
@@ -9,30 +9,30 @@
 	"amberway/platform"
 )
 
-// Figures of taking in jobs.
+// Parameters of the intake.
 const (
-	// intakeBatchDelay is how long the first of some jobs waits for others, so that
-	// one write takes them all.
+	// intakeBatchDelay is how long the first job of a batch waits for others to be written
+	// with it.
 	intakeBatchDelay = 3 * time.Millisecond
-	// intakeBatch is the most jobs of one write: each takes two conditions and
-	// one entry.
+	// intakeBatch is the maximum number of jobs in one write. Each takes two conditions
+	// and one entry of a transaction.
 	intakeBatch = platform.MaxTxn / 3
-	// intakeRetry is the pause before a write is repeated whose answer was lost.
+	// intakeRetry is the delay before a write is retried whose answer was lost.
 	intakeRetry = 100 * time.Millisecond
 )
 
-// pendingJob is one job that waits to be written.
+// pendingJob is a job that waits to be written to the store.
 type pendingJob struct {
 	id    ID
 	value []byte
-	// deadline is when its caller has to have an answer.
+	// deadline is when its caller needs an answer.
 	deadline time.Time
-	// mayBeStored says that a write of it may still be carried out.
+	// mayBeStored says that a write of it was not answered and may still be carried out.
 	mayBeStored bool
 	outcome     chan common.Verdict
 }
 
-// intake writes accepted jobs to the store, several at a time.
+// intake writes submitted jobs to the store in batches.
 type intake struct {
 	kv    *platform.KV
 	log   *Logger
@@ -45,12 +45,11 @@
 	return &intake{kv: kv, log: log, now: now, queue: make(chan *pendingJob, 1024)}
 }
 
-// errStoreUnreachable says that the store has not answered for a while.
-var errStoreUnreachable = errors.New("the store is away")
+// errStoreUnreachable is returned without a write once the store has stopped answering.
+var errStoreUnreachable = errors.New("the store is unreachable")
 
-// accept writes a job. Its verdict is Ran where the store holds the job, NotRun
-// where it certainly never will, and MayHaveRun where that is not known by the
-// deadline.
+// accept writes a job. The verdict is Ran if the store holds the job, NotRun if it
+// certainly never will, and MayHaveRun if this is not known by the deadline.
 func (i *intake) accept(ctx context.Context, id ID, r Record, deadline time.Time) (common.Verdict, error) {
 	b, err := encodeRecord(r)
 	if err != nil {
@@ -73,7 +72,7 @@
 	}
 }
 
-// run writes until the context ends.
+// run writes batches until the context ends.
 func (i *intake) run(ctx context.Context) {
 	for {
 		select {
@@ -102,7 +101,7 @@
 	return l
 }
 
-// write settles all applications of the batch.
+// write writes a batch, and retries until every job of it has a verdict.
 func (i *intake) write(ctx context.Context, l []*pendingJob) {
 	for len(l) > 0 {
 		sent := i.now()
@@ -125,21 +124,21 @@
 	}
 }
 
-// recordReach notes whether a write was answered, and logs when the store goes away
-// or is back.
+// recordReach records whether a write was answered, and logs when the store becomes
+// unreachable or reachable again.
 func (i *intake) recordReach(sent time.Time, err error) {
 	now := i.now()
 	gone, back := i.reach.record(sent, now, err == nil || errors.Is(err, platform.ErrConflict))
 	switch {
 	case gone:
-		i.log.Write(LogLine{What: "store away", Why: err.Error(), Fields: []any{"since_ms", now.Sub(sent).Milliseconds()}})
+		i.log.Write(LogLine{What: "store unreachable", Why: err.Error(), Fields: []any{"since_ms", now.Sub(sent).Milliseconds()}})
 	case back:
-		i.log.Write(LogLine{What: "store back"})
+		i.log.Write(LogLine{What: "store reachable again"})
 	}
 }
 
-// intakeTxn creates the jobs unless they are there or have been: the owner
-// removes the record of a job that has ended, and its progress stays.
+// intakeTxn returns the transaction that creates the jobs unless one of them exists or has
+// existed: the owner deletes the record of a job that has ended, but its progress stays.
 func intakeTxn(l []*pendingJob) platform.Txn {
 	var t platform.Txn
 	for _, a := range l {
@@ -149,16 +148,16 @@
 	return t
 }
 
-// settleStored settles the applications whose job the store holds already, and
+// settleStored answers the jobs of a conflicting batch that the store holds already, and
 // returns the others.
 func (i *intake) settleStored(l []*pendingJob, found []platform.Entry) []*pendingJob {
-	there := make(map[string]bool, len(found))
+	exists := make(map[string]bool, len(found))
 	for _, e := range found {
-		there[e.Key] = true
+		exists[e.Key] = true
 	}
 	var rest, done []*pendingJob
 	for _, a := range l {
-		if there[recordKey(a.id)] || there[progressKey(a.id)] {
+		if exists[recordKey(a.id)] || exists[progressKey(a.id)] {
 			done = append(done, a)
 			continue
 		}
@@ -166,7 +165,8 @@
 	}
 	i.settle(done, common.Ran, "there already", 0)
 	if len(done) == 0 {
-		// Two of the batch are the same job: write them one after the other.
+		// The conflict is within the batch: two entries are the same job. Write them one
+		// after the other.
 		for _, a := range l[1:] {
 			i.queue <- a
 		}
@@ -175,9 +175,8 @@
 	return rest
 }
 
-// settleFailed settles the applications that can wait no longer after a failed
-// write: what was refused at once and never sent has not run. It returns the
-// others.
+// settleFailed answers, after a failed write, the jobs that certainly are not stored and
+// those whose callers cannot wait for a retry. It returns the others.
 func (i *intake) settleFailed(l []*pendingJob, err error) []*pendingJob {
 	var rest []*pendingJob
 	now := i.now()
--- a/job/keys.go
+++ b/job/keys.go
@@ -7,11 +7,11 @@
 	"amberway/platform"
 )
 
-// keyIndex finds the team of a key.
+// keyIndex maps each key to its team.
 type keyIndex map[platform.KeyHash]platform.Team
 
-// newKeyIndex returns the keys of the teams. A key that stands in two teams is that of the
-// first: callers who hold a key in force are let in, whatever else is wrong with it.
+// newKeyIndex returns the index of the teams' keys. A key that is listed for two teams
+// belongs to the first: this mistake must not lock out callers whose key is in force.
 func newKeyIndex(teams []platform.Team) keyIndex {
 	r := make(keyIndex, len(teams))
 	for _, t := range teams {
@@ -24,20 +24,20 @@
 	return r
 }
 
-// access says whether a caller is let in.
+// access is the result of an authorization.
 type access int
 
 const (
-	// granted: the caller needs no key, or holds one that is in force.
+	// granted: the caller needs no key or has one that is in force.
 	granted access = iota
-	// unknownKey: the caller has no key, or one that is in force nowhere.
+	// unknownKey: the caller has no key or one of no team.
 	unknownKey
-	// notCurrent: it is not known whether the key is in force, as the configuration may
-	// have changed since this host last heard of it.
+	// notCurrent: this host cannot tell whether the key is in force, because its
+	// configuration may be outdated.
 	notCurrent
 )
 
-// String returns why a caller is not let in.
+// String returns the reason of a refusal.
 func (a access) String() string {
 	if a == notCurrent {
 		return refusedOutdated
@@ -45,21 +45,21 @@
 	return refusedKey
 }
 
-// authorizer decides who is let in.
+// authorizer checks callers' keys.
 type authorizer struct {
-	// required says that callers need keys, whatever the configuration says.
+	// required says that callers need keys even if the configuration has no teams.
 	required bool
-	// keysWithin is how long a key that was taken away may go on working; zero is no
-	// bound. newWithin is the time in which a new one has to be in force.
+	// keysWithin is how long a revoked key may still be accepted; zero is no limit.
+	// newKeysWithin is how soon a new key has to be accepted.
 	keysWithin, newKeysWithin time.Duration
 }
 
-// keyMarginDivisor divides the bounds on keys: a fifth of each is left for how long the answer was
-// on its way by which the configuration is known to be current.
+// keyMarginDivisor sets the margin on the limits of authorizer: a fifth of each is reserved
+// for the transit time of the answer that showed the configuration to be current.
 const keyMarginDivisor = 5
 
-// authorize returns the team of a caller of the queue, the zero team for none, and whether the
-// caller is let in by what the routes hold, which were last known to be current at the time.
+// authorize returns the team of a caller of the queue, or the zero team, and whether the
+// caller has access. currentAt is when the routes were last known to be current.
 func (a authorizer) authorize(r *routes, q platform.Queue, h http.Header, currentAt, now time.Time) (platform.Team, access) {
 	key, given := platform.Key(h)
 	team, known := r.keys[key]
--- a/job/learn.go
+++ b/job/learn.go
@@ -6,18 +6,18 @@
 	"amberway/platform"
 )
 
-// runTimeWeight is the share of one run in the mean of its queue: about the last
-// twenty runs count.
+// runTimeWeight is the weight of one run in the moving average of its queue, which so
+// reflects about the last twenty runs.
 const runTimeWeight = 0.05
 
-// runTimeEstimate is how long the tasks of a queue have taken.
+// runTimeEstimate is the moving average of the run times of a queue's tasks.
 type runTimeEstimate struct {
 	mean time.Duration
 	runs int
 }
 
-// recordRunTime takes in the time of a run that is done. The run time includes the
-// way of the order and of the end, which a job waits for as well.
+// recordRunTime adds a successful run to the average of its queue. The run time includes
+// the transit of the start order and of the result, since the job waits for these as well.
 func (c *Core) recordRunTime(r *run) {
 	q := r.task.of.of.job.queue.Name
 	e := c.runTimes[q]
@@ -34,9 +34,8 @@
 	e.mean += time.Duration(runTimeWeight * float64(took-e.mean))
 }
 
-// expectedRunTime returns how long a task of the step is expected to take: its estimate,
-// drawn towards what tasks of its queue have taken, since estimates are off by
-// up to nine tenths.
+// expectedRunTime returns how long a task of the step is expected to take: the mean of the
+// caller's estimate, which can be off by up to nine tenths, and the average of its queue.
 func (c *Core) expectedRunTime(j *job, s *platform.Step) time.Duration {
 	e := c.runTimes[j.queue.Name]
 	if e == nil || e.runs < 5 {
@@ -48,18 +47,19 @@
 	return (s.Estimate + e.mean) / 2
 }
 
-// Times of judging workers.
+// Limits for the quarantine of workers.
 const (
-	// quarantineFailures is how many first failures in a row set a worker aside.
+	// quarantineFailures is how many failures in a row, as counted by recordOutcome, put a
+	// worker into quarantine.
 	quarantineFailures = 3
-	// quarantineFor is how long it then gets no starts.
+	// quarantineFor is how long a quarantined worker gets no starts.
 	quarantineFor = 3 * time.Second
-	// quarantineDivisor bounds the share of a pool that is set aside at once.
+	// quarantineDivisor limits quarantine to that part of a pool: one worker in three.
 	quarantineDivisor = 3
 )
 
-// recordOutcome counts an end for or against the worker. A job that has failed on
-// another worker speaks against the job, not the worker.
+// recordOutcome counts the end of a run for or against the worker. Failures of a job that
+// has failed on another worker before are attributed to the job, not to the worker.
 func (c *Core) recordOutcome(w *worker, t *task, how platform.End) {
 	if how == platform.EndDone {
 		w.failures = 0
@@ -82,17 +82,17 @@
 }
 
 func (c *Core) quarantine(w *worker) {
-	aside := 0
+	quarantined := 0
 	p := c.pools[w.Service]
 	for _, o := range p {
 		if c.now.Before(o.quarantinedUntil) {
-			aside++
+			quarantined++
 		}
 	}
-	if c.now.Before(w.quarantinedUntil) || aside*quarantineDivisor >= len(p) {
+	if c.now.Before(w.quarantinedUntil) || quarantined*quarantineDivisor >= len(p) {
 		return
 	}
 	w.quarantinedUntil = c.now.Add(quarantineFor)
-	c.emit(LogLine{What: "worker set aside", Worker: w.ID, Why: "its runs fail", Fields: []any{"failures", w.failures}})
+	c.emit(LogLine{What: "worker quarantined", Worker: w.ID, Why: "its runs fail", Fields: []any{"failures", w.failures}})
 	w.failures = quarantineFailures - 1
 }
--- a/job/load.go
+++ b/job/load.go
@@ -12,55 +12,55 @@
 	"amberway/platform"
 )
 
-// watchBatchDelay is how long changes are gathered behind those that came: each
-// watch is a priced call, and a job has some hundred milliseconds to spare.
+// watchBatchDelay is the pause after changes before the next watch, so that one call
+// returns several. Each call is paid for, and a job has some hundred milliseconds to spare.
 const watchBatchDelay = 20 * time.Millisecond
 
-// listRevisions are the revisions from which to follow what was listed.
+// listRevisions are the revisions of the lists, from which to watch for changes.
 type listRevisions struct {
 	jobs, workers platform.Revision
 }
 
-// narrowLinkMbps is the widest link, in megabits a second, on which what an owner takes over is
-// read one list after the other: the lists of 1,200 jobs take a second of it, in which
-// the renewals of the owner's lease have to come through.
+// narrowLinkMbps is the bandwidth up to which a new owner reads the lists one after the
+// other. The lists of 1,200 jobs occupy such a link for a second, during which renewals of
+// the owner's lease have to get through.
 const narrowLinkMbps = 10
 
-// loadWithRetry reads what to take over, again and again while the ownership lasts: a next
-// owner would find the store as slow.
+// loadWithRetry retries load for as long as the ownership lasts. Giving up would not help:
+// the next owner would find the store just as slow.
 func (o *owner) loadWithRetry(ctx context.Context, config *platform.Deployed) (Inherited, listRevisions, error) {
 	for {
 		e, from, err := o.load(ctx, config)
 		if err == nil || errors.Is(err, errDeposed) || ctx.Err() != nil || o.sinceRenewal() > ownerTTL {
 			return e, from, err
 		}
-		o.log.Write(LogLine{What: "not read", Why: err.Error(), Fields: []any{"age_ms", o.sinceRenewal().Milliseconds()}})
+		o.log.Write(LogLine{What: "takeover read failed", Why: err.Error(), Fields: []any{"age_ms", o.sinceRenewal().Milliseconds()}})
 		common.Sleep(ctx, followRetry)
 	}
 }
 
-// load reads all that an owner takes over. What it reads is written by owners
-// only, whose writes the store refuses by now, or followed from the revision of its
-// list, so that all can be read at once: one after the other they took 2.4 seconds
-// of a store that is slow.
+// load reads the state that a new owner takes over. The lists can be read in parallel: each
+// is either written by owners only, and the store rejects writes of earlier owners by now,
+// or watched from the revision of its list on. Read one after the other, they took 2.4 s
+// from a slow store.
 func (o *owner) load(ctx context.Context, config *platform.Deployed) (Inherited, listRevisions, error) {
 	e := Inherited{Config: config, Progress: map[ID]Progress{}, WavesEnded: map[int64]bool{}, WavesBegan: map[int64][]string{}}
 	var from listRevisions
-	g, all := errgroup.WithContext(ctx)
+	g, gctx := errgroup.WithContext(ctx)
 	if o.linkMbps > 0 && o.linkMbps <= narrowLinkMbps {
 		g.SetLimit(1)
 	}
 	g.Go(func() (err error) {
-		from.jobs, err = o.loadJobs(all, &e)
+		from.jobs, err = o.loadJobs(gctx, &e)
 		return err
 	})
-	g.Go(func() error { return o.loadProgress(all, &e) })
+	g.Go(func() error { return o.loadProgress(gctx, &e) })
 	g.Go(func() (err error) {
-		from.workers, err = o.loadWorkers(all, &e)
+		from.workers, err = o.loadWorkers(gctx, &e)
 		return err
 	})
-	g.Go(func() error { return o.loadOwnerState(all, &e) })
-	g.Go(func() error { return o.loadWaves(all, &e) })
+	g.Go(func() error { return o.loadOwnerState(gctx, &e) })
+	g.Go(func() error { return o.loadWaves(gctx, &e) })
 	err := g.Wait()
 	if err == nil {
 		from.jobs = o.catchUp(ctx, &e, from.jobs)
@@ -69,7 +69,7 @@
 	return e, from, err
 }
 
-// addJob adds what an entry of the jobs says.
+// addJob adds a job or a cancellation that was found in the store.
 func (e *Inherited) addJob(v Event) {
 	switch v := v.(type) {
 	case JobAccepted:
@@ -79,9 +79,9 @@
 	}
 }
 
-// checkOwnership reports an error unless the owner's key is its own. What was listed
-// before is then of the owner's time: of later jobs the next owner takes for
-// granted that nobody else has seen them.
+// checkOwnership returns errDeposed unless the owner's key still holds this owner's claim.
+// If it does, everything listed before was stored in this owner's term. The next owner
+// relies on that: it assumes that no earlier owner has seen jobs created after its claim.
 func (o *owner) checkOwnership(ctx context.Context) error {
 	v, err := o.KV.Get(ctx, ownerKey)
 	if errors.Is(err, platform.ErrNotFound) || (err == nil && v.Revision != platform.Revision(o.tenure.fence)) {
@@ -107,7 +107,7 @@
 	return at, nil
 }
 
-// loadAdmissionPolicy reads what the owner before has said of the queues.
+// loadAdmissionPolicy decodes the policy of the previous owner.
 func (o *owner) loadAdmissionPolicy(v platform.Entry, e *Inherited) {
 	f, err := decodeAdmissionPolicy(v)
 	if err != nil {
@@ -146,7 +146,8 @@
 	return at, nil
 }
 
-// loadOwnerState reads what earlier owners have kept beside the progress of jobs.
+// loadOwnerState reads what earlier owners have stored besides the progress of jobs: the
+// roster, started waves and the revision of the last write.
 func (o *owner) loadOwnerState(ctx context.Context, e *Inherited) error {
 	l, _, err := o.KV.List(ctx, ownerOnlyPrefix)
 	if err != nil {
@@ -195,7 +196,7 @@
 	return nil
 }
 
-// jobEvent returns what an entry of the jobs says, or nil.
+// jobEvent returns the event for an entry under jobsPrefix, or nil if it is invalid.
 func (o *owner) jobEvent(v platform.Entry) Event {
 	if len(v.Key) > len(cancelPrefix) && v.Key[:len(cancelPrefix)] == cancelPrefix {
 		return CancelRequested{ID: ID(v.Key[len(cancelPrefix):])}
@@ -216,8 +217,8 @@
 	return w, err == nil
 }
 
-// followJobs tells the core of new and cancelled jobs, and ends the ownership
-// when another owner shows among them.
+// followJobs sends events for new and cancelled jobs to the core. It resigns when it finds
+// another owner's claim, which is under the same prefix.
 func (o *owner) followJobs(ctx context.Context, from platform.Revision) {
 	f := &follower{kv: o.KV, prefix: jobsPrefix, watchTimes: jobsWatch, gather: watchBatchDelay, log: o.log}
 	f.onList = func(l []platform.Entry) {
@@ -257,8 +258,8 @@
 	}
 }
 
-// workerEvent returns what a change of a worker's record says: one that cannot be read
-// names no worker any more.
+// workerEvent returns the event for a changed worker record. An invalid record counts as
+// deleted.
 func (o *owner) workerEvent(v platform.Event) Event {
 	if !v.Deleted {
 		if w, ok := o.decodeWorker(v.Entry); ok {
@@ -268,7 +269,7 @@
 	return WorkerUnlisted{Name: platform.WorkerNameOf(v.Key)}
 }
 
-// followWorkers tells the core of workers that come, change and go.
+// followWorkers sends events for added, changed and removed workers to the core.
 func (o *owner) followWorkers(ctx context.Context, from platform.Revision) {
 	f := &follower{kv: o.KV, prefix: platform.WorkerPrefix, watchTimes: jobsWatch, gather: watchBatchDelay, log: o.log}
 	f.onList = func(l []platform.Entry) {
--- a/job/metrics.go
+++ b/job/metrics.go
@@ -14,8 +14,8 @@
 	"amberway/platform"
 )
 
-// metrics counts what a node does. The sets of labels are fixed, so that their
-// number is bounded.
+// metrics holds the instruments of a node. Labels take their values from fixed sets, so
+// that the number of series is bounded.
 type metrics struct {
 	intake        metric.Int64Counter
 	orders        metric.Int64Counter
@@ -28,7 +28,7 @@
 	labels        labelSets
 }
 
-// instrument is one entry of the table of metrics.
+// instrument describes one counter.
 type instrument struct {
 	name, unit, help string
 	counter          *metric.Int64Counter
@@ -59,7 +59,8 @@
 	return s, observeWorstTenth(m, worstTenth)
 }
 
-// observeWorstTenth shows, on the owner's host, how the worst-served teams are served.
+// observeWorstTenth registers the gauge of the worst-served teams. Only the owner reports a
+// value.
 func observeWorstTenth(m metric.Meter, worstTenth func() (float64, bool)) error {
 	_, err := m.Float64ObservableGauge("amberway.teams.worst", metric.WithUnit("1"),
 		metric.WithDescription("share of jobs that were done in time, of the worst-served tenth of the teams"),
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// observeTraffic shows what calls to the platform and to other entry hosts carry, by kind.
+// observeTraffic registers the byte counters of calls to the platform and to other entry
+// hosts, by kind of call.
 func observeTraffic(m metric.Meter, l []*common.Connections) error {
 	_, err := m.Int64ObservableCounter("amberway.jobs.bytes", metric.WithUnit("By"),
 		metric.WithDescription("bytes of calls with their headers, by kind and way"),
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// totalTraffic returns what the calls of all connections have carried, by kind.
+// totalTraffic returns the traffic of all connections by kind of call.
 func totalTraffic(l []*common.Connections) map[string]common.TrafficCount {
 	all := map[string]common.TrafficCount{}
 	for _, o := range l {
@@ -108,7 +110,7 @@
 	return all
 }
 
-// orderOutcome names what became of an order, in a fixed set of words.
+// orderOutcome returns the outcome of an order as a label value from a fixed set.
 func orderOutcome(rejection string, err error) string {
 	switch {
 	case err == nil && rejection == "":
@@ -133,9 +135,9 @@
 	s.orders.Add(context.Background(), 1, s.labels.of(labelOrder, kind, out)...)
 }
 
-// labelSets keeps the sets of labels that count thousands of times a second. Their number
-// is bounded, as that of the words is. Making one for each count took 4 % of an owner's
-// processor time at 480 starts a second.
+// labelSets caches the label sets of counters that are updated up to thousands of times a
+// second. Building a set for each update took 4 % of an owner's processor time at 480
+// starts a second. The cache is bounded, since the label values are.
 type labelSets struct {
 	mu   sync.RWMutex
 	sets map[labelKey][]metric.AddOption
@@ -146,7 +148,7 @@
 	first, second string
 }
 
-// labelKind says how the words of a key are named.
+// labelKind selects the names of the labels in a labelKey.
 type labelKind int
 
 const (
@@ -155,7 +157,7 @@
 	labelServed
 )
 
-// of returns the set with the words.
+// of returns the label set with the values.
 func (l *labelSets) of(form labelKind, first, next string) []metric.AddOption {
 	k := labelKey{kind: form, first: first, second: next}
 	l.mu.RLock()
@@ -185,7 +187,7 @@
 	return []attribute.KeyValue{attribute.String("kind", k.first), attribute.String("outcome", k.second)}
 }
 
-// record counts what the owner's decisions say of ends and starts.
+// record updates the metrics that are derived from the owner's log lines.
 func (s *metrics) record(n LogLine) {
 	switch n.What {
 	case "end":
--- a/job/place.go
+++ b/job/place.go
@@ -10,22 +10,23 @@
 
 // Weights of placement.
 const (
-	// coresWeight and memoryWeight make tasks gather where the most is used, in
-	// thousandths and hundredths of the room; blameWeight counts each failed run
-	// since the last good end like a fifth of the cores.
+	// coresWeight and memoryWeight favour the fullest workers, by the used part of their
+	// cores and memory. failureWeight makes each failed run since the last success count
+	// against a worker as much as a fifth of its cores.
 	coresWeight   = 1000
 	memoryWeight  = 100
 	failureWeight = 200
-	// otherRackPenalty keeps a task near its data wherever there is room.
+	// otherRackPenalty keeps a task in the rack of its data wherever there is room.
 	otherRackPenalty = 1 << 38
-	// maintenancePenalty keeps lasting tasks from hosts that a wave is to maintain, from
-	// which they would have to move again.
+	// maintenancePenalty keeps lasting tasks off hosts that a wave is to maintain, which
+	// they would soon have to leave.
 	maintenancePenalty = 1 << 30
-	// avoidPenalty outweighs all else that rates a worker.
+	// avoidPenalty outweighs all other terms of the score.
 	avoidPenalty = 1 << 40
 )
 
-// sortWorkers puts workers into a fixed order, so that loads gather on the first.
+// sortWorkers sorts workers into a fixed order, so that ties in the score concentrate the
+// load on the first ones.
 func sortWorkers(p []*worker) {
 	slices.SortFunc(p, func(a, b *worker) int {
 		return cmp.Or(cmp.Compare(a.rack, b.rack), cmp.Compare(a.Host, b.Host), cmp.Compare(a.ID, b.ID))
@@ -43,8 +44,9 @@
 	return 1
 }
 
-// placeAll starts waiting tasks of the listed steps where there is room, the
-// most urgent first. It reports false where starts have to wait until they can be sent.
+// placeAll starts waiting tasks of the listed steps, the most urgent first, as far as there
+// is room. It reports false if starts were held back because the owner may not send them
+// yet.
 func (c *Core) placeAll(pool []*worker, l []candidate) bool {
 	free := make([]*worker, 0, len(pool))
 	for _, w := range pool {
@@ -55,7 +57,7 @@
 	if !c.flow.mayStart() || c.maybeReplaced() {
 		return false
 	}
-	var full unplaceable
+	var failed unplaceable
 	for _, s := range l {
 		if len(free) == 0 {
 			return true
@@ -64,9 +66,9 @@
 		case s.idle == 0:
 		case s.Gang:
 			c.placeGang(free, s.step)
-		case full.covers(s.Step):
+		case failed.covers(s.Step):
 		case !c.placeStep(free, s.step):
-			full = append(full, s.Resources)
+			failed = append(failed, s.Resources)
 		}
 		if s.idle > 0 && !c.flow.mayStart() {
 			return false
@@ -75,11 +77,11 @@
 	return true
 }
 
-// unplaceable are what found no room on any worker in this pass.
+// unplaceable lists the needs of tasks that found no room on any worker in this pass.
 type unplaceable []platform.Resources
 
-// covers reports whether the step needs at least as much as another that found no
-// room, so that the workers need not be looked through again.
+// covers reports whether the step needs at least as much as one that found no room, so that
+// searching the workers again would be in vain.
 func (n unplaceable) covers(s *platform.Step) bool {
 	if s.BestEffort {
 		return false
@@ -89,8 +91,8 @@
 	})
 }
 
-// placeStep starts as many of the step's tasks as have room and can be sent now. It
-// reports false where no worker at all has room for one more, whatever its labels.
+// placeStep starts as many of the step's tasks as have room and may be sent now. It reports
+// false if no worker has room for another one, whatever its labels.
 func (c *Core) placeStep(free []*worker, s *step) bool {
 	for x := s.firstIdle; x < len(s.tasks) && s.idle > 0; x++ {
 		t := s.tasks[x]
@@ -123,8 +125,8 @@
 	return true
 }
 
-// withinCap reports whether n more tasks of the step stay within the cap of its team, and
-// notes that they wait where they do not.
+// withinCap reports whether n more tasks of the step stay within the cap of its team. If
+// not, it registers the service to be placed again once the team's usage falls.
 func (s *step) withinCap(n int64) bool {
 	t := s.of.job.team
 	if t.mayUse(s.Resources, n) {
@@ -134,23 +136,23 @@
 	return false
 }
 
-// unconstrained reports whether only room decides where the step's tasks may run.
+// unconstrained reports whether the step's tasks may run on any worker that has room.
 func (s *step) unconstrained() bool {
 	return s.perWorker == nil && s.Requires == "" && !s.BestEffort && s.advice == nil && s.of.job.queue.Advice == nil
 }
 
-// choose returns the best worker for the task, or nil where none has room.
+// choose returns the allowed worker with the highest score, or nil if there is none.
 func (c *Core) choose(free []*worker, t *task) *worker {
 	var best *worker
-	var top int64
+	var bestScore int64
 	for _, w := range free {
 		if !c.allowed(w, t.of) {
 			continue
 		}
 		v := c.score(w, t)
-		if best == nil || v > top {
+		if best == nil || v > bestScore {
 			best = w
-			top = v
+			bestScore = v
 		}
 	}
 	return best
@@ -170,8 +172,8 @@
 	return s.MaxPerWorker == 0 || s.perWorker[w.ID] < s.MaxPerWorker
 }
 
-// score says how good a worker is for the task. Tasks gather on workers that are
-// busy already, so that others become free to be moved or maintained.
+// score rates a worker for the task, the higher the better. Tasks are packed onto busy
+// workers, so that others become free to be moved or maintained.
 func (c *Core) score(w *worker, t *task) int64 {
 	v := w.used.MilliCores*coresWeight/max(1, w.Capacity.MilliCores) + w.used.MemoryMB*memoryWeight/max(1, w.Capacity.MemoryMB)
 	if t.isolated() {
@@ -191,21 +193,22 @@
 	return v
 }
 
-// deadline returns when the time of the job has to be done.
+// deadline returns when the instance of the job has to be done: its due time, plus the
+// expected time of its critical path times the queue's stretch, plus the queue's goal.
 func (c *Core) deadline(j *job, n *instance) time.Time {
-	chain := time.Duration(0)
+	longest := time.Duration(0)
 	for _, s := range n.steps {
-		chain = max(chain, c.criticalPath(n, s))
+		longest = max(longest, c.criticalPath(n, s))
 	}
 	stretch := j.queue.Stretch
 	if stretch <= 0 {
 		stretch = 1
 	}
-	return n.due.Add(time.Duration(stretch*float64(chain)) + j.queue.Goal)
+	return n.due.Add(time.Duration(stretch*float64(longest)) + j.queue.Goal)
 }
 
-// criticalPath returns the longest chain of work from the step on, the step
-// included.
+// criticalPath returns the expected time of the longest chain of dependent steps that
+// begins with the step.
 func (c *Core) criticalPath(n *instance, s *step) time.Duration {
 	longest := time.Duration(0)
 	for _, o := range n.steps {
@@ -216,8 +219,8 @@
 	return longest + c.expectedRunTime(n.job, s.Step)
 }
 
-// ticket returns the leave to run the step on the worker, which only queues
-// with advice need.
+// ticket returns the ticket that permits the step to run on the worker. Queues without
+// advice need none.
 func (c *Core) ticket(s *step, w *worker) (string, bool) {
 	if s.of.job.queue.Advice == nil {
 		return "", true
--- a/job/pools.go
+++ b/job/pools.go
@@ -8,39 +8,38 @@
 	"amberway/platform"
 )
 
-// Figures of pools: a host in a pool costs each second about what one move
-// costs, at both users.
+// Parameters of pools. Keeping a host in a pool costs about as much a second as one move.
 const (
-	// poolIdleTimeout is how long a host is more than its pool wants before it goes to
-	// the spare pool.
+	// poolIdleTimeout is how long a host beyond its pool's demand stays idle before it
+	// moves to the spare pool.
 	poolIdleTimeout = 800 * time.Millisecond
-	// surplusIdleTimeout is the same where the pool has far more than it wants, as
-	// after a turn of the load.
+	// surplusIdleTimeout applies instead while the pool has a large surplus, as after a
+	// shift of the load.
 	surplusIdleTimeout = 300 * time.Millisecond
-	// surplusDivisor is the part of what a pool wants beyond which it has far more,
-	// and surplusLeast the fewest hosts.
+	// A surplus is large above minSurplus hosts and above one surplusDivisor-th of the
+	// pool's demand.
 	surplusDivisor = 8
 	minSurplus     = 8
-	// poolPlanInterval is how often pools are looked at.
+	// poolPlanInterval is the time between two evaluations of the pools.
 	poolPlanInterval = 100 * time.Millisecond
-	// poolLogInterval is how often the log tells of all pools.
+	// poolLogInterval is the time between two log lines about each pool.
 	poolLogInterval = 2 * time.Second
-	// poolHeadroom is the share of room that a pool keeps beyond its load, since
-	// tasks do not fill hosts to the last core.
+	// poolHeadroom is the capacity that a pool keeps beyond its load, as a fraction of the
+	// load, since tasks do not fill hosts to the last core.
 	poolHeadroom = 0.1
-	// freeHostFraction is the part of a host that a pool keeps free besides, so that a
-	// pool of one or two hosts gets one more in time.
+	// freeHostFraction is the part of a host that a pool keeps free in addition, so that
+	// a pool of one or two hosts grows in time.
 	freeHostFraction = 0.25
-	// transferTimeout is how long a host that is to be lent may take to run empty.
+	// transferTimeout is how long a host may drain for a transfer to another pool.
 	transferTimeout = 2 * time.Second
 )
 
-// poolBalancer is the state of the decisions on pools.
+// poolBalancer is the state of the distribution of hosts to pools.
 type poolBalancer struct {
 	planAt, logAt time.Time
-	// unplaced is what tasks without room ask for, by service.
+	// unplaced is the demand of tasks that found no room, by service.
 	unplaced map[string]platform.Resources
-	// arrivals is the work that came in lately, by service.
+	// arrivals is the recent work, by service.
 	arrivals map[string]*arrivals
 }
 
@@ -48,7 +47,7 @@
 	return poolBalancer{unplaced: map[string]platform.Resources{}, arrivals: map[string]*arrivals{}}
 }
 
-// reconcilePools moves hosts between the pools and the spare pool as the load asks.
+// reconcilePools moves hosts among the pools and the spare pool to follow the load.
 func (c *Core) reconcilePools() {
 	spare := c.sparePool()
 	if spare == "" || c.now.Before(c.ordersFrom) || c.now.Before(c.balance.planAt) {
@@ -79,8 +78,8 @@
 	return ""
 }
 
-// recycleTainted gives the machines of tainted workers a new life by way of the
-// spare pool.
+// recycleTainted moves the machines of tainted workers to the spare pool, which gives each
+// a new incarnation.
 func (c *Core) recycleTainted(spare string) {
 	for _, w := range c.workers {
 		m := c.machinesByName[w.Host]
@@ -90,7 +89,7 @@
 	}
 }
 
-// addSpareHosts brings hosts from the spare pool to one that is short.
+// addSpareHosts moves hosts from the spare pool to a pool that is short of them.
 func (c *Core) addSpareHosts(d *demand, spare string) {
 	if d.have >= d.want {
 		return
@@ -104,8 +103,8 @@
 	}
 }
 
-// addIdleHosts brings hosts without runs from pools that have more than they want:
-// one move in place of two by way of the spare pool.
+// addIdleHosts moves idle hosts from pools with a surplus to a pool that is short. That
+// takes one move instead of two by way of the spare pool.
 func (c *Core) addIdleHosts(d *demand, plan []demand) {
 	for i := range plan {
 		from := &plan[i]
@@ -126,13 +125,13 @@
 	}
 }
 
-// idle reports whether the machine has a worker that is known to run nothing.
+// idle reports whether the machine's worker is known to run nothing.
 func (c *Core) idle(m *machine) bool {
 	w := c.workerOf(m)
 	return w != nil && !w.leaving && !w.Draining && c.runsKnown(m) && len(w.runs) == 0
 }
 
-// movable returns the machines of a pool that could get an order now.
+// movable returns the machines of a pool that may be ordered to move now.
 func (c *Core) movable(pool string) []*machine {
 	var l []*machine
 	for _, m := range c.machinesByName {
@@ -144,8 +143,8 @@
 	return l
 }
 
-// transferHosts takes hosts from pools that have more than they want. Hosts without
-// runs move at once; others run empty first, if no lasting tasks are there.
+// transferHosts takes hosts from pools with a surplus while tasks of the demand's pool wait
+// for room. Idle hosts move at once. Others drain first, unless they run lasting tasks.
 func (c *Core) transferHosts(d *demand, plan []demand) {
 	c.reconcileTransfers(d)
 	for i := len(plan) - 1; i >= 0 && d.have < d.want && d.hasUnplaced; i-- {
@@ -167,7 +166,7 @@
 	c.reconcileTransfers(d)
 }
 
-// transferable returns the hosts of a pool without lasting tasks, the emptiest
+// transferable returns the hosts of a pool that run no lasting tasks, the least loaded
 // first.
 func (c *Core) transferable(pool string) []*machine {
 	var l []*machine
@@ -183,7 +182,7 @@
 	return l
 }
 
-// hasLasting reports whether lasting tasks run on the worker.
+// hasLasting reports whether the worker runs lasting tasks.
 func (w *worker) hasLasting() bool {
 	for _, r := range w.runs {
 		if r.task.of.Lasting {
@@ -193,8 +192,8 @@
 	return false
 }
 
-// reconcileTransfers moves the hosts that are to be lent to the pool once they are empty,
-// and takes back what is not needed or takes too long.
+// reconcileTransfers moves hosts that are being transferred to the pool once they are
+// drained. It cancels transfers that are no longer needed or take too long.
 func (c *Core) reconcileTransfers(d *demand) {
 	for _, m := range c.machinesByName {
 		if m.transferTo != d.service || m.order != nil {
@@ -221,7 +220,7 @@
 	c.recordOrder(m, &machineOrder{pool: pool})
 }
 
-// idleTimeout is how long a host of the pool idles before it goes.
+// idleTimeout returns how long a host of the pool stays idle before it is released.
 func (d *demand) idleTimeout() time.Duration {
 	if d.have-d.want > max(minSurplus, d.want/surplusDivisor) {
 		return surplusIdleTimeout
@@ -229,8 +228,8 @@
 	return poolIdleTimeout
 }
 
-// releaseSurplus sends hosts that a pool has not wanted for a while to the spare
-// pool.
+// releaseSurplus moves hosts that have been idle for idleTimeout to the spare pool while the
+// pool has more than it needs.
 func (c *Core) releaseSurplus(d *demand, spare string) {
 	if d.have <= d.want {
 		return
