--- a/job/query.go
+++ b/job/query.go
@@ -6,8 +6,8 @@
 	"amberway/platform"
 )
 
-// StateOf returns the state of a job as callers may see it: a final state is
-// told only once the store holds it. Of a cancelled job it holds the mark.
+// StateOf returns the state of a job as shown to callers. A final state is shown only once
+// it is stored; for a cancelled job the stored request to cancel is enough.
 func (c *Core) StateOf(id ID) (platform.State, bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -19,7 +19,7 @@
 	return j.state, true
 }
 
-// Waiting returns how many accepted jobs of a queue have not begun.
+// Waiting returns how many accepted jobs of a queue have not started.
 func (c *Core) Waiting(queue string) int {
 	n := 0
 	for _, j := range c.active {
@@ -30,19 +30,19 @@
 	return n
 }
 
-// Figures of an owner's own reach.
+// Limits for detecting that the owner itself is cut off from the workers.
 const (
-	// cutOffAfter is how long more workers have to be silent than answer before
-	// an owner takes itself to be cut off.
+	// cutOffAfter is how long more workers must be silent than answer before an owner
+	// considers itself cut off.
 	cutOffAfter = 900 * time.Millisecond
-	// cutOffMinSilent is the fewest silent workers that say anything about it.
+	// cutOffMinSilent is the minimum number of silent workers for that.
 	cutOffMinSilent = 4
-	// recentAnswerWithin is how long an answer speaks for the way to a worker.
+	// recentAnswerWithin is how long after an answer a worker counts as reachable.
 	recentAnswerWithin = 3 * time.Second
 )
 
-// checkConnectivity gives ownership up when most workers cannot be reached while the
-// store can: another host may reach them.
+// checkConnectivity steps down if the owner still reaches the store but not most workers:
+// another host may reach them.
 func (c *Core) checkConnectivity() {
 	silent, reached := 0, 0
 	for _, w := range c.workers {
@@ -62,10 +62,10 @@
 		c.cutOffSince = c.now
 	}
 	if c.now.Sub(c.cutOffSince) > cutOffAfter {
-		c.emit(LogLine{What: "cut off", Why: "more workers are silent than answer", Fields: []any{"silent", silent, "reached", reached}})
+		c.emit(LogLine{What: "workers unreachable", Why: "more workers are silent than answer", Fields: []any{"silent", silent, "reached", reached}})
 		c.emit(StepDown{Why: whyCutOff})
 	}
 }
 
-// whyCutOff is the reason of an owner that reaches too few workers.
+// whyCutOff is the reason for stepping down if too few workers are reachable.
 const whyCutOff = "most workers cannot be reached from here"
--- a/job/refusals.go
+++ b/job/refusals.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// maxRefusals is how many refused jobs a host remembers: some minutes of a busy one's.
+// maxRefusals is how many refused jobs a host remembers: those of some minutes on a busy
+// host.
 const maxRefusals = 1024
 
-// Why jobs are refused, as shown to who asks for the job afterwards.
+// Reasons for refusing a job, as shown to operators who ask about the job.
 const (
 	refusedKey      = "no such key"
 	refusedOutdated = "it was not known whether its key was in force"
@@ -19,14 +20,14 @@
 	refusedCap      = "it can never run within its team's cap"
 )
 
-// Refusal is what an entry host remembers of a job that it has refused.
+// Refusal describes a job that this entry host has refused.
 type Refusal struct {
 	ID  ID        `json:"id"`
 	Why string    `json:"why"`
 	At  time.Time `json:"at"`
 }
 
-// refusals are the last jobs that were refused here, and how many were of each team.
+// refusals remembers the last jobs that this host has refused, and counts them by team.
 type refusals struct {
 	mu     sync.Mutex
 	byID   map[ID]Refusal
@@ -38,14 +39,14 @@
 	return &refusals{byID: map[ID]Refusal{}, byTeam: map[string]int64{}}
 }
 
-// add remembers a refusal; "" is the team of who is not known.
+// add remembers a refusal. The team is "" if the caller's team is not known.
 func (l *refusals) add(r Refusal, team string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if team != "" {
 		l.byTeam[team]++
 	}
-	if _, there := l.byID[r.ID]; !there {
+	if _, known := l.byID[r.ID]; !known {
 		l.order = append(l.order, r.ID)
 	}
 	l.byID[r.ID] = r
@@ -62,7 +63,7 @@
 	return r, ok
 }
 
-// counts returns how many jobs of each team were refused here.
+// counts returns the number of refused jobs by team.
 func (l *refusals) counts() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/job/route.go
+++ b/job/route.go
@@ -7,11 +7,12 @@
 	"amberway/platform"
 )
 
-// routes finds the queue of a request and the team of its caller, as one configuration
-// has them.
+// routes maps requests to queues and keys to teams, according to one version of the
+// configuration.
 type routes struct {
 	config *platform.Deployed
-	// written is the configuration as the operator wrote it, for other entry hosts.
+	// written is the configuration as the operator wrote it. Other entry hosts get it in
+	// this form.
 	written []byte
 	byHost  map[string][]platform.Queue
 	keys    keyIndex
@@ -26,8 +27,8 @@
 	return r
 }
 
-// find returns the queue with the longest prefix that begins the path, and the
-// rest of the path.
+// find returns the queue of the host whose prefix is the longest that matches the path, and
+// the rest of the path.
 func (r *routes) find(host, path string) (platform.Queue, string, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
--- a/job/served.go
+++ b/job/served.go
@@ -4,13 +4,13 @@
 	"slices"
 )
 
-// servedCounts counts the jobs that were done, by whether they were in time.
+// servedCounts counts jobs that have finished, in time or late.
 type servedCounts struct {
 	inTime, late int
 }
 
-// recordServed counts a job that is done. Jobs with times and lasting ones have no time in
-// which they are to be done.
+// recordServed counts a finished job as in time or late. Recurring jobs are left out: like
+// lasting ones, they have no deadline.
 func (c *Core) recordServed(j *job, n *instance) {
 	if j.Times > 0 {
 		return
@@ -26,23 +26,23 @@
 	}
 }
 
-// whatJobServed is the name of the line for a job that is done.
+// whatJobServed is the What of the log line for a finished job.
 const whatJobServed = "job served"
 
-// worstTenth returns the share of jobs in time of the worst-served tenth of the teams, one
-// at least, or false where no team has been served.
+// worstTenth returns the mean fraction of jobs finished in time over the worst-served tenth
+// of the teams, at least one team, or false if no team has finished a job.
 func (l *teams) worstTenth() (float64, bool) {
-	var shares []float64
+	var fractions []float64
 	for _, t := range l.byName {
 		if n := t.served.inTime + t.served.late; n > 0 {
-			shares = append(shares, float64(t.served.inTime)/float64(n))
+			fractions = append(fractions, float64(t.served.inTime)/float64(n))
 		}
 	}
-	if len(shares) == 0 {
+	if len(fractions) == 0 {
 		return 0, false
 	}
-	slices.Sort(shares)
-	worst := shares[:max(1, len(shares)/10)]
+	slices.Sort(fractions)
+	worst := fractions[:max(1, len(fractions)/10)]
 	sum := 0.0
 	for _, s := range worst {
 		sum += s
@@ -50,7 +50,7 @@
 	return sum / float64(len(worst)), true
 }
 
-// worstTenth returns the worst-served tenth of teams where this host owns.
+// worstTenth returns teams.worstTenth if this host is the owner, and false otherwise.
 func (n *Node) worstTenth() (float64, bool) {
 	o := n.localOwner()
 	if o == nil {
--- a/job/shares.go
+++ b/job/shares.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// A team's weight is how many jobs a second it may send once there is more work than room.
-// The jobs that it sends beyond that wait behind those of the others, and are refused
-// first. With one team at twelve times its usual for 14 s, and another at eight, four plays
-// of 34 s: worth +0.036 +/- 0.017, the worst-served tenth of teams 0.27 and 0.33. Holding
-// teams to their weights by what they have running gave +0.044 +/- 0.017 there, and lost
-// 0.024 +/- 0.015 where a team at five times its usual had room beside the others.
+// A team's weight is its share: how many jobs a second it may submit while there is more
+// work than capacity. Jobs beyond that wait behind those of other teams and are refused
+// first. Limiting what a team has running instead leaves capacity idle that nobody else
+// needs: it cost 0.024 +/- 0.015 of the benchmark score when a team sent five times its
+// usual load and the others left room for it. When teams sent eight and twelve times theirs,
+// both ways gained about as much: +0.036 +/- 0.017 this way, +0.044 +/- 0.017 the other.
 
-// Figures of shares.
+// Parameters of shares.
 const (
-	// shareBurst is how long a team may save up what it has not sent.
+	// shareBurst is how long a team accumulates unused share.
 	shareBurst = time.Second
-	// maxShareWait is how long the jobs beyond a share wait behind the others at most: all
-	// that was taken has to end, and what came first goes first in the end.
+	// maxShareWait is how long a job beyond its team's share waits behind others at most.
+	// Every accepted job has to end, so after this the order of arrival counts again.
 	maxShareWait = 10 * time.Second
-	// teamFractionIncrease is what the part that is taken of a team's jobs grows by at each judgement
-	// at which all that was taken was within its share, leastPart the least that it is.
+	// teamFractionIncrease multiplies the admitted fraction of a team's jobs at each
+	// evaluation that finds its admitted jobs within its share. minTeamFraction is the
+	// lower bound of the fraction.
 	teamFractionIncrease = 1.1
 	minTeamFraction      = 0.05
-	// teamFractionTolerance is the change of a part that entry hosts are told of.
+	// teamFractionTolerance is the change of a fraction from which on it is published.
 	teamFractionTolerance = 0.1
 )
 
-// share is what a team may send before its jobs wait behind those of others.
+// share tracks how much of its share a team has used.
 type share struct {
-	// bucket is how many jobs it may send now.
+	// tokenBucket holds the number of jobs that it may submit now.
 	tokenBucket
-	// sent and beyond count its jobs since the last judgement, and those of them that
-	// were beyond its share.
+	// sent counts its accepted jobs since the last evaluation, beyond those of them that
+	// exceeded its share.
 	sent, beyond int
-	// fraction is which part of its jobs is taken where queues are full, from 0 to 1.
+	// fraction is the fraction of its jobs, from 0 to 1, that is admitted while admission
+	// is limited.
 	fraction float64
 }
 
-// spend takes in a job that comes now, and reports whether it is beyond the team's share.
+// spend charges a new job to the team's share, and reports whether it exceeds the share.
 func (t *team) spend(now time.Time) bool {
 	if t == nil || t.Weight <= 0 {
 		return false
 	}
 	s := &t.share
-	most := t.Weight * shareBurst.Seconds()
+	capacity := t.Weight * shareBurst.Seconds()
 	if s.filledAt.IsZero() {
-		s.tokenBucket = tokenBucket{tokens: most, filledAt: now}
+		s.tokenBucket = tokenBucket{tokens: capacity, filledAt: now}
 	}
-	s.refill(now, t.Weight, most)
+	s.refill(now, t.Weight, capacity)
 	s.sent++
 	if s.tokens < 1 {
 		s.beyond++
@@ -59,11 +61,12 @@
 	return false
 }
 
-// adjust returns which part of the team's jobs is to be taken where queues are full, and
-// begins a new count. Only what was taken is counted, so that the part falls by what is
-// beyond the share and grows slowly from there; where all is taken, it is what is within.
-func (s *share) adjust(full bool) float64 {
-	if s.fraction == 0 || !full {
+// adjust evaluates the jobs since the last call and returns the fraction of the team's jobs
+// to admit while admission is limited. Only accepted jobs are counted, so the fraction falls
+// in proportion to the excess and then grows slowly. If admission was not limited before, it
+// starts as the part of the jobs that was within the share.
+func (s *share) adjust(limited bool) float64 {
+	if s.fraction == 0 || !limited {
 		s.fraction = 1
 	}
 	if s.beyond > 0 {
@@ -75,25 +78,24 @@
 	return s.fraction
 }
 
-// adjustFractions returns which part is taken of the jobs of teams that send more than their
-// shares, all of the others', by whether queues were full before and are now.
-func (l *teams) adjustFractions(before, full bool) map[string]float64 {
-	parts := map[string]float64{}
+// adjustFractions adjusts all teams and returns the fractions of those that are limited,
+// given whether admission was limited before and is now.
+func (l *teams) adjustFractions(before, limited bool) map[string]float64 {
+	fractions := map[string]float64{}
 	for n, t := range l.byName {
-		if p := t.share.adjust(before && full); p < 1 && full {
-			parts[n] = p
+		if p := t.share.adjust(before && limited); p < 1 && limited {
+			fractions[n] = p
 		}
 	}
-	return parts
+	return fractions
 }
 
-// sameFractions reports whether callers would be treated alike by both.
+// sameFractions reports whether the fractions are equal within teamFractionTolerance.
 func sameFractions(a, b map[string]float64) bool {
 	return maps.EqualFunc(a, b, func(x, y float64) bool { return math.Abs(x-y) < teamFractionTolerance })
 }
 
-// beyondShare reports whether the job waits behind those that are within their teams'
-// shares.
+// beyondShare reports whether the job waits behind jobs within their teams' shares.
 func (c *Core) beyondShare(j *job) bool {
 	return j.overShare && c.now.Sub(j.knownAt) < maxShareWait
 }
--- a/job/soon.go
+++ b/job/soon.go
@@ -6,10 +6,10 @@
 	"amberway/platform"
 )
 
-// upcomingDemand returns what the jobs of a service that are known will ask for at the time:
-// what waits, what will still run, and the steps that will have opened. The later
-// steps of a job ask for hosts seconds after it came. Jobs that may not run yet ask
-// for none, and what is beyond the cap of its team for as little.
+// upcomingDemand returns the resources that the known jobs of a service will need at a
+// future time: for waiting tasks, tasks that will still run, and steps that will be
+// unblocked by then, since the later steps of a job need hosts only seconds after it
+// arrives. It leaves out jobs that may not run yet and tasks beyond their team's cap.
 func (c *Core) upcomingDemand(service string, at time.Time) platform.Resources {
 	var sum platform.Resources
 	c.teams.startCount()
@@ -27,7 +27,7 @@
 	return sum
 }
 
-// upcomingTasks returns how many tasks of the step will ask for room at the time.
+// upcomingTasks returns how many tasks of the step will run or wait for room at the time.
 func (c *Core) upcomingTasks(s *step, at time.Time) int {
 	switch {
 	case s.remaining == 0:
@@ -43,7 +43,7 @@
 	return c.unfinished(s, at)
 }
 
-// opensBy reports whether the steps before s are to be done by the time.
+// opensBy reports whether the steps before s are expected to be done by the time.
 func (c *Core) opensBy(s *step, at time.Time) bool {
 	for _, a := range s.After {
 		before := s.of.steps[a]
@@ -54,12 +54,13 @@
 	return true
 }
 
-// unfinished counts the tasks of an open step that will not be done by the time.
+// unfinished counts the tasks of an unblocked step that are not expected to be done by the
+// time.
 func (c *Core) unfinished(s *step, at time.Time) int {
 	n := s.idle
-	takes := c.expectedRunTime(s.of.job, s.Step)
+	runTime := c.expectedRunTime(s.of.job, s.Step)
 	for _, t := range s.tasks {
-		if !t.done && len(t.runs) > 0 && t.runs[0].sentAt.Add(takes).After(at) {
+		if !t.done && len(t.runs) > 0 && t.runs[0].sentAt.Add(runTime).After(at) {
 			n++
 		}
 	}
--- a/job/speed.go
+++ b/job/speed.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Figures of judging a host's own speed.
+// Parameters of the measurement of the host's own speed.
 const (
-	// speedSampleBytes is the work of one sample, in bytes that are hashed: some tens
+	// speedSampleBytes is how many bytes are hashed for one sample, which takes some tens
 	// of microseconds.
 	speedSampleBytes = 64 << 10
-	// speedSamples is how many samples the present speed is taken from. The
-	// best of them counts, as the others may have been interrupted.
+	// speedSamples is the number of recent samples that determine the present speed. The
+	// fastest counts, since the others may have been interrupted.
 	speedSamples = 3
-	// slowFactor is how many times slower than at its best a host has to be to
-	// leave ownership to others.
+	// slowFactor is how many times slower than its best a host is when it leaves
+	// ownership to others.
 	slowFactor = 3
 )
 
-// speedMonitor measures how fast the host runs, against its own best.
+// speedMonitor measures the host's speed relative to its own best.
 type speedMonitor struct {
 	mu    sync.Mutex
 	now   func() time.Time
@@ -33,7 +33,7 @@
 	return &speedMonitor{now: now, block: make([]byte, speedSampleBytes)}
 }
 
-// sample measures once.
+// sample takes one sample.
 func (s *speedMonitor) sample() {
 	begun := s.now()
 	sum := xxhash.Sum64(s.block)
@@ -52,7 +52,7 @@
 	}
 }
 
-// slow reports whether the host runs much slower than it can.
+// slow reports whether the host is slower than its best by more than slowFactor.
 func (s *speedMonitor) slow() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,5 +66,5 @@
 	return best > slowFactor*s.best
 }
 
-// whySlow is the reason of an owner whose host has become slow.
+// whySlow is the reason for stepping down on a slow host.
 const whySlow = "this host has become slow"
--- a/job/teams.go
+++ b/job/teams.go
@@ -8,20 +8,21 @@
 	"amberway/platform"
 )
 
-// team is what an owner knows of one team. The nil team is that of jobs of public queues,
-// and has no cap.
+// team is the owner's state of one team. Jobs of public queues without a key have the nil
+// team, which has neither cap nor share.
 type team struct {
 	platform.Team
-	// used is what its runs take on all workers, also those that are being stopped, whose
-	// start was not answered, or that an earlier owner started.
+	// used is what its runs take on all workers. Runs count that are being stopped, whose
+	// start is unconfirmed, or that an earlier owner started.
 	used platform.Resources
-	// uncontactedUsage is what runs of earlier owners may take at workers that have not answered.
+	// uncontactedUsage is what runs that earlier owners started may take on workers that
+	// have not been contacted.
 	uncontactedUsage platform.Resources
-	// waitingServices are the services in which its tasks wait for its cap, and freed says that
-	// some of it has come free since.
+	// waitingServices are the services in which its tasks wait for its cap. unblocked says
+	// that some of its usage has been released since.
 	waitingServices map[string]bool
 	unblocked       bool
-	// counted is what was counted of what it asks for in the round.
+	// counted is the demand that limitToCap has granted it in the round.
 	counted platform.Resources
 	round   int
 	share   share
@@ -29,15 +30,16 @@
 	teams   *teams
 }
 
-// teams are those that jobs are handed in by. A team that the configuration has no more
-// keeps its last cap for what it handed in before.
+// teams holds all teams that have submitted jobs or are configured. A team that is removed
+// from the configuration keeps its last cap for its remaining jobs.
 type teams struct {
 	byName map[string]*team
-	// unblocked are the teams with tasks that may start again.
+	// unblocked are the teams whose waiting tasks are to be placed again.
 	unblocked []*team
-	// endedUncontacted are the jobs that have become final while runs of them may go on unheard of.
+	// endedUncontacted are jobs that are final, but may still have runs on workers that
+	// have not been contacted.
 	endedUncontacted []*job
-	// round numbers the counts of what teams ask for.
+	// round is the number of the current count by limitToCap.
 	round int
 }
 
@@ -45,7 +47,8 @@
 	return &teams{byName: map[string]*team{}}
 }
 
-// find returns the team with the name, which need not be in the configuration; nil for "".
+// find returns the team with the name, or nil for "". It adds teams that are not in the
+// configuration.
 func (l *teams) find(name string) *team {
 	if name == "" {
 		return nil
@@ -58,7 +61,7 @@
 	return t
 }
 
-// update takes the teams of a configuration in force.
+// update applies the teams of a configuration.
 func (l *teams) update(in []platform.Team) {
 	for _, v := range in {
 		t := l.find(v.Name)
@@ -67,7 +70,7 @@
 	}
 }
 
-// mayUse reports whether n more tasks that need as much stay within the team's cap.
+// mayUse reports whether n more tasks with the need stay within the team's cap.
 func (t *team) mayUse(need platform.Resources, n int64) bool {
 	if t == nil || t.Cap == (platform.Resources{}) {
 		return true
@@ -75,8 +78,8 @@
 	return t.usage().Plus(need, n).Within(t.Cap)
 }
 
-// checkCap returns what of a job can never run within the cap of the team as its caller
-// should read it.
+// checkCap returns an error if a step of the job can never run within the team's cap. Its
+// text is shown to the caller.
 func checkCap(r Record, t platform.Team) error {
 	for i, s := range r.Steps {
 		n := int64(1)
@@ -90,7 +93,8 @@
 	return nil
 }
 
-// charge counts a run that begins, or one that has ended with -1.
+// charge adds n times the need of a run to the team's usage: 1 when the run begins, -1 when
+// it has ended.
 func (t *team) charge(need platform.Resources, n int64) {
 	if t == nil {
 		return
@@ -101,7 +105,8 @@
 	}
 }
 
-// usage returns what the team has, as far as is known.
+// usage returns what the team's runs take, including what may run on workers that have not
+// been contacted.
 func (t *team) usage() platform.Resources {
 	if t == nil {
 		return platform.Resources{}
@@ -109,12 +114,12 @@
 	return t.used.Plus(t.uncontactedUsage, 1)
 }
 
-// addWaiting notes that tasks wait in the service for the team's cap.
+// addWaiting records that tasks in the service wait for the team's cap.
 func (t *team) addWaiting(service string) {
 	t.waitingServices[service] = true
 }
 
-// unblock has the tasks that wait for the cap placed.
+// unblock requests a new placement of the tasks that wait for the cap.
 func (t *team) unblock() {
 	if !t.unblocked && len(t.waitingServices) > 0 {
 		t.unblocked = true
@@ -122,7 +127,8 @@
 	}
 }
 
-// takeUnblocked returns the services in which tasks that waited for a cap may start.
+// takeUnblocked returns the services in which tasks waiting for a cap may now start, and
+// resets the list.
 func (l *teams) takeUnblocked() []string {
 	var s []string
 	for _, t := range l.unblocked {
@@ -134,38 +140,39 @@
 	return s
 }
 
-// startCount begins a count of what teams ask for.
+// startCount starts a new count by limitToCap for all teams.
 func (l *teams) startCount() {
 	l.round++
 }
 
-// limitToCap returns how many of n tasks the team may have beside what it takes and what was
-// counted of it in this round: hosts for more of them would stand idle.
-func (t *team) limitToCap(takes, need platform.Resources, n int64) int64 {
+// limitToCap returns how many of n tasks fit below the team's cap, beside its usage and what
+// was granted earlier in this round. Hosts for more tasks would stay idle.
+func (t *team) limitToCap(usage, need platform.Resources, n int64) int64 {
 	if t == nil || n == 0 || t.Cap == (platform.Resources{}) {
 		return n
 	}
 	if t.round != t.teams.round {
 		t.round, t.counted = t.teams.round, platform.Resources{}
 	}
-	has := takes.Plus(t.counted, 1)
-	n = min(n, countFitting(t.Cap.MilliCores, has.MilliCores, need.MilliCores),
-		countFitting(t.Cap.MemoryMB, has.MemoryMB, need.MemoryMB), countFitting(t.Cap.GPUs, has.GPUs, need.GPUs))
+	used := usage.Plus(t.counted, 1)
+	n = min(n, countFitting(t.Cap.MilliCores, used.MilliCores, need.MilliCores),
+		countFitting(t.Cap.MemoryMB, used.MemoryMB, need.MemoryMB), countFitting(t.Cap.GPUs, used.GPUs, need.GPUs))
 	t.counted = t.counted.Plus(need, n)
 	return n
 }
 
-// countFitting returns how often the need fits beside what is taken, many times where there
-// is no bound.
-func countFitting(bound, taken, need int64) int64 {
+// countFitting returns how many times the need fits within the limit beside what is used,
+// or a very large number if there is no limit.
+func countFitting(limit, used, need int64) int64 {
 	const many = 1 << 40
-	if bound == 0 || need == 0 {
+	if limit == 0 || need == 0 {
 		return many
 	}
-	return max(0, (bound-taken)/need)
+	return max(0, (limit-used)/need)
 }
 
-// addUncontacted counts the tasks of a job that may run unheard of.
+// addUncontacted adds what a job may have running on workers that have not been contacted
+// to its team's uncontactedUsage.
 func (c *Core) addUncontacted(j *job) {
 	if j.team == nil || c.inheritedRunsKnown(j) {
 		return
@@ -180,11 +187,11 @@
 	}
 }
 
-// countUncontacted counts what earlier owners may have started for each team at workers that
-// have not answered: the tasks without a run of jobs that are not settled, but no more
-// than those workers have, where that is known. Until they answer, nothing that the count
-// leaves no room for is started, so that a team stays within its cap across owners.
-func (c *Core) countUncontacted(unmet uncontactedRoom) {
+// countUncontacted estimates what earlier owners may have started for each team on workers
+// that have not been contacted: all tasks without a known run of jobs that may have runs
+// there, but no more than the capacity of those workers, if it is known. Counting this
+// against the cap until the workers answer keeps teams within their caps across owners.
+func (c *Core) countUncontacted(room uncontactedRoom) {
 	for _, t := range c.teams.byName {
 		if t.uncontactedUsage != (platform.Resources{}) {
 			t.uncontactedUsage = platform.Resources{}
@@ -201,10 +208,10 @@
 	for _, j := range c.teams.endedUncontacted {
 		c.addUncontacted(j)
 	}
-	if unmet.unknown || c.now.Before(c.rosterUnknownUntil) {
+	if room.unknown || c.now.Before(c.rosterUnknownUntil) {
 		return
 	}
 	for _, t := range c.teams.byName {
-		t.uncontactedUsage = t.uncontactedUsage.Least(unmet.Resources)
+		t.uncontactedUsage = t.uncontactedUsage.Least(room.Resources)
 	}
 }
--- a/job/waitlist.go
+++ b/job/waitlist.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// candidate is an open step, which may have tasks that wait.
+// candidate is an unblocked step, which may have waiting tasks.
 type candidate struct {
 	*step
 	priority int
-	// beyond says that its team sent the job beyond its share.
+	// beyond says that the job exceeds its team's share, see beyondShare.
 	beyond bool
-	// late says that the job can hardly be in time any more.
+	// late says that the job is not expected to meet its deadline any more.
 	late bool
-	// latestStart is when the step has to start for its job to be in time.
+	// latestStart is when the step has to start for its job to meet its deadline.
 	latestStart time.Time
 }
 
-// waitlist is what waits for the workers of one service.
+// waitlist holds the jobs of one service and their steps in the order of placement.
 type waitlist struct {
 	service string
 	jobs    map[ID]*job
-	// steps are the open steps, the most urgent first. They are collected anew
-	// when reorder is set.
+	// steps are the unblocked steps, the most urgent first. They are collected again if
+	// needsSort is set.
 	steps     []candidate
 	needsSort bool
-	// head is the first step with tasks that wait, as of the last placement.
+	// head is the first step with waiting tasks, as of the last placement.
 	head candidate
-	// needsPlacement says that tasks may have found room.
+	// needsPlacement says that there may be room for waiting tasks.
 	needsPlacement bool
 }
 
-// waitlists keeps the order in which tasks are placed. Collecting and sorting
-// the steps is dear with some hundred jobs, and most events change only the
-// room on one service's workers.
+// waitlists keeps the order in which tasks are placed, by service. Collecting and sorting
+// the steps is expensive with some hundred jobs, while most events change only the room on
+// the workers of one service.
 type waitlists struct {
 	byService map[string]*waitlist
 }
@@ -43,7 +43,7 @@
 	return waitlists{byService: map[string]*waitlist{}}
 }
 
-// listOf returns the list of the service, a new one if there is none.
+// listOf returns the waitlist of the service, which it creates if there is none.
 func (l *waitlists) listOf(service string) *waitlist {
 	w := l.byService[service]
 	if w == nil {
@@ -53,12 +53,12 @@
 	return w
 }
 
-// replan has the service's waiting tasks placed, as room may have been found.
+// replan requests a placement of the service's waiting tasks, as there may be room for them.
 func (l *waitlists) replan(service string) {
 	l.listOf(service).needsPlacement = true
 }
 
-// reorder has the service's open steps collected anew and placed.
+// reorder requests that the service's unblocked steps are collected, sorted and placed.
 func (l *waitlists) reorder(service string) {
 	w := l.listOf(service)
 	w.needsSort = true
@@ -71,20 +71,20 @@
 	}
 }
 
-// enqueue adds a live job.
+// enqueue adds an active job.
 func (l *waitlists) enqueue(j *job) {
 	l.listOf(j.queue.Service).jobs[j.id] = j
 	l.reorder(j.queue.Service)
 }
 
-// dequeue removes a job that has become final.
+// dequeue removes a job that is final.
 func (l *waitlists) dequeue(j *job) {
 	delete(l.listOf(j.queue.Service).jobs, j.id)
 	l.reorder(j.queue.Service)
 }
 
-// rebuildWaitlists puts all live jobs on the lists of their services, which a new
-// configuration may have changed.
+// rebuildWaitlists sorts all active jobs into the waitlists again, since a new
+// configuration may have changed their services.
 func (c *Core) rebuildWaitlists() {
 	for _, l := range c.byService {
 		clear(l.jobs)
@@ -95,7 +95,8 @@
 	c.reorderAll()
 }
 
-// place starts waiting tasks where there is room, the most urgent first.
+// place starts waiting tasks in all services that need it, the most urgent first, as far as
+// there is room.
 func (c *Core) place() {
 	counted := false
 	for _, s := range c.teams.takeUnblocked() {
@@ -122,7 +123,7 @@
 		}
 		due = append(due, l)
 	}
-	// Where not all can be sent now, what is most urgent of any service goes first.
+	// If not all starts can be sent now, the service with the most urgent step goes first.
 	slices.SortFunc(due, func(a, b *waitlist) int { return compareCandidates(a.head, b.head) })
 	for _, l := range due {
 		if !c.placeAll(c.pools[l.service], l.steps) {
@@ -133,7 +134,8 @@
 	}
 }
 
-// first returns the most urgent step with tasks that wait for room, or the zero candidate.
+// first returns the most urgent step with waiting tasks that its team's cap allows, or the
+// zero candidate.
 func (l *waitlist) first() candidate {
 	for _, s := range l.steps {
 		if s.idle > 0 && s.withinCap(1) {
@@ -143,7 +145,7 @@
 	return candidate{}
 }
 
-// collect lists the open steps of the jobs that may run.
+// collect collects and sorts the unblocked steps of the jobs that may run.
 func (c *Core) collect(l *waitlist) {
 	l.steps = l.steps[:0]
 	for _, j := range l.jobs {
@@ -178,7 +180,7 @@
 	slices.SortFunc(l, compareCandidates)
 }
 
-// compareCandidates orders the more urgent step first, and the zero candidate last.
+// compareCandidates orders the more urgent step first and the zero candidate last.
 func compareCandidates(a, b candidate) int {
 	if a.step == nil || b.step == nil {
 		return compareBool(a.step == nil, b.step == nil)
