--- a/job/arrivals_test.go
+++ b/job/arrivals_test.go
@@ -8,31 +8,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// jobWork is the work of each job, in core-milliseconds.
+// jobWork is the work of each job in core-milliseconds.
 const jobWork = 8000
 
-// simulate feeds jobs that come at random, so many a second, and returns the largest
-// forecast.
+// simulate adds randomly arriving jobs at the given rate and returns the largest forecast.
 func (a *arrivals) simulate(r *rand.Rand, from time.Time, d time.Duration, perSecond func(time.Duration) float64) float64 {
 	const step = 2 * time.Millisecond
-	most := 0.0
+	largest := 0.0
 	for t := time.Duration(0); t < d; t += step {
 		now := from.Add(t)
 		if r.Float64() < perSecond(t)*step.Seconds() {
 			a.add(jobWork, now, now)
 		}
-		most = max(most, a.forecast(now))
+		largest = max(largest, a.forecast(now))
 	}
-	return most
+	return largest
 }
 
 func steady(n float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return n }
 }
 
-// Load that rises to four times within two seconds is foreseen: a second and a
-// half into the rise, the forecast is above what comes then, and the mean is far
-// below it.
+// Load that rises to four times within two seconds is anticipated: 1.5 s into the rise, the
+// forecast is above the current load, while the average is far below it.
 func TestForecastRunsAheadOfARise(t *testing.T) {
 	const jobs = 40.0
 	ahead := 0
@@ -54,7 +52,7 @@
 	require.Less(t, mean, 0.75*jobs*3.25*jobWork/1000)
 }
 
-// Jobs that come at random, at the same rate, seldom look like a rise.
+// Random variation of a steady load is seldom taken for a rise.
 func TestForecastOfSteadyLoadFollowsItsMean(t *testing.T) {
 	over, samples := 0, 0
 	for seed := range uint64(20) {
--- a/job/bench_test.go
+++ b/job/bench_test.go
@@ -8,8 +8,8 @@
 	"amberway/platform"
 )
 
-// BenchmarkStep is one pass over everything while all workers are busy and jobs
-// wait: the most that one step of the owner has to look through.
+// BenchmarkStep measures a Tick while all workers are busy and jobs wait: the largest amount
+// of work in one step of the owner.
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{50, 500, 5000} {
 		for _, jobs := range []int{10, 100, 1000} {
@@ -29,14 +29,14 @@
 		}
 	}
 	do(ConfigChanged{Config: testConfig()})
-	var listed, looked Batch
+	var listed, polled Batch
 	for i := range workers {
 		w := testWorker(fmt.Sprint("w", i))
 		listed = append(listed, WorkerListed{Worker: w})
-		looked = append(looked, PollResult{Worker: w.ID, SentAt: now, Poll: platform.PollReply{Clock: 1}})
+		polled = append(polled, PollResult{Worker: w.ID, SentAt: now, Poll: platform.PollReply{Clock: 1}})
 	}
 	do(listed)
-	do(looked)
+	do(polled)
 	step := platform.Step{Count: 5, Resources: platform.Resources{MilliCores: 4000, MemoryMB: 100}, Estimate: time.Second}
 	for i := range workers/5 + jobs {
 		r := NewRecord(c.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{step}}, now)
--- a/job/capacity_test.go
+++ b/job/capacity_test.go
@@ -9,15 +9,15 @@
 	"amberway/platform"
 )
 
-// shrunk is the record of worker w1 with so much of its processors.
+// shrunk returns the record of worker w1 with a reduced capacity, in thousandths of a core.
 func shrunk(cores int64) WorkerListed {
 	w := testWorker("w1")
 	w.Capacity.MilliCores = cores
 	return WorkerListed{Worker: w}
 }
 
-// A worker's capacity may shrink and grow again while it runs. One that does not guard it
-// starts whatever it is told, so that the owner has to follow what its record says, at once.
+// A worker's capacity may shrink and grow again while it runs. Workers that do not check it
+// start whatever they are ordered to, so the owner must follow their records at once.
 func TestStartsFollowACapacityThatShrinksAndGrows(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -37,12 +37,12 @@
 		Ended:   []platform.EndedRow{ended(1, l[0], platform.EndDone), ended(2, l[1], platform.EndDone)},
 	})
 	f.pass(time.Second)
-	require.Empty(t, f.starts(), "two tasks fill what is left")
+	require.Empty(t, f.starts(), "two tasks fill the reduced capacity")
 	f.step(shrunk(3000))
 	require.Len(t, f.starts(), 1)
 }
 
-// What is being stopped takes its room until its end is listed.
+// A run that is being stopped keeps its room until the worker reports its end.
 func TestRunThatIsBeingStoppedTakesItsRoomAfterAShrink(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -62,7 +62,7 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// A next owner goes by what a worker says of itself now, not by what it had.
+// A new owner uses the capacity that a worker reports now, not the one it had earlier.
 func TestNextOwnerUsesTheReportedCapacity(t *testing.T) {
 	f := newOwnerWithInheritedRuns(t)
 	require.Empty(t, f.starts())
@@ -70,8 +70,8 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// newOwnerWithInheritedRuns is an owner that finds two tasks of a job at a worker which has room for
-// no more, and a third that waits.
+// newOwnerWithInheritedRuns returns an owner that finds two tasks of a job running on a
+// worker without room for more, and a third task waiting.
 func newOwnerWithInheritedRuns(t *testing.T) *fixture {
 	f := newFixture(t)
 	s := oneTask()
--- a/job/full_test.go
+++ b/job/full_test.go
@@ -14,10 +14,10 @@
 	"amberway/platform"
 )
 
-// The priorities of the queues of testConfig.
+// Priorities of the queues of testConfig.
 const quick, patient = 0, 1
 
-// publishedPolicy returns what the owner has last said of its queues.
+// publishedPolicy returns the admission policy that the owner has published last.
 func (f *fixture) publishedPolicy() AdmissionPolicy {
 	var v AdmissionPolicy
 	for _, a := range f.out {
@@ -33,8 +33,8 @@
 	return v
 }
 
-// newNarrowFixture is an owner behind a link that carries some 150 starts a second, with a
-// worker that has room for all.
+// newNarrowFixture returns an owner behind a link that carries some 150 starts a second,
+// with one worker of practically unlimited capacity.
 func newNarrowFixture(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.core.flow = newFlowControl(Size{LinkMbps: 0.4}, f.now)
@@ -45,7 +45,7 @@
 	return f
 }
 
-// run lets time pass with all orders answered at once.
+// run advances the time, with all starts answered at once, and returns how many there were.
 func (f *fixture) run(d time.Duration) (started int) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
@@ -57,8 +57,8 @@
 	return started
 }
 
-// TestAdmissionIsLimitedWhenStartsCannotBeSentInTime has an owner behind a link that
-// carries some 150 starts a second, and work of both priorities for ten seconds of it.
+// Ten seconds' worth of starts of each priority is submitted to an owner whose link carries
+// some 150 starts a second.
 func TestAdmissionIsLimitedWhenStartsCannotBeSentInTime(t *testing.T) {
 	f := newNarrowFixture(t)
 	f.run(2 * time.Second)
@@ -71,17 +71,17 @@
 	}
 	submit(0, 2, "patient")
 	f.run(3 * time.Second)
-	require.Empty(t, f.publishedPolicy().Admissions, "all of it can be sent in a second")
+	require.Empty(t, f.publishedPolicy().Admissions, "all starts can be sent within a second")
 	submit(1000, 150, "patient")
 	started := f.run(2 * time.Second)
 	require.Less(t, started, 400)
 	f.run(admissionInterval)
-	full := f.publishedPolicy()
-	require.Equal(t, f.core.fence, full.Fence)
-	require.Contains(t, full.Admissions, patient)
-	require.NotContains(t, full.Admissions, quick, "what is more urgent goes first")
-	require.Less(t, full.Admissions[patient].Fraction, 0.1)
-	require.Greater(t, full.Admissions[patient].RetryAfter, time.Second)
+	policy := f.publishedPolicy()
+	require.Equal(t, f.core.fence, policy.Fence)
+	require.Contains(t, policy.Admissions, patient)
+	require.NotContains(t, policy.Admissions, quick, "more urgent jobs go first")
+	require.Less(t, policy.Admissions[patient].Fraction, 0.1)
+	require.Greater(t, policy.Admissions[patient].RetryAfter, time.Second)
 	submit(2000, 150, "quick")
 	f.run(2 * time.Second)
 	require.Contains(t, f.publishedPolicy().Admissions, quick)
@@ -90,19 +90,20 @@
 		f.step(CancelRequested{ID: ID(fmt.Sprintf("%016x", 2000+i))})
 	}
 	f.run(4 * time.Second)
-	require.Empty(t, f.publishedPolicy().Admissions, "there is room again")
+	require.Empty(t, f.publishedPolicy().Admissions, "nothing is pending any more")
 }
 
-// TestJobOfAFullQueueIsRefusedAtOnceUnlessItWasTaken asks an entry host whose owner has
-// said that a queue is full.
+// An entry host enforces the policy of the current owner and, until that has published one,
+// the policy of the owner before, but not for longer than admissionTTL. A job that is
+// already stored is never refused.
 func TestJobOfAFullQueueIsRefusedAtOnceUnlessItWasTaken(t *testing.T) {
 	s := newStoreFixture(t)
 	n := newTestNode(t, s)
 	go n.intake.run(t.Context())
 	n.routes.Store(newRoutes(testConfig()))
 	o := s.claim(t, "another")
-	say := func(f AdmissionPolicy) {
-		b, err := json.Marshal(f)
+	publish := func(p AdmissionPolicy) {
+		b, err := json.Marshal(p)
 		require.NoError(t, err)
 		n.election.apply(platform.Entry{Key: admissionKey, Value: b})
 	}
@@ -114,26 +115,26 @@
 		return w
 	}
 	require.Equal(t, http.StatusOK, post(idA, "q").Code)
-	say(AdmissionPolicy{Fence: o.tenure.fence, Admissions: map[int]Admission{quick: {RetryAfter: 6 * time.Second}}})
-	require.Equal(t, http.StatusOK, post(idA, "q").Code, "a copy of a job that was taken")
+	publish(AdmissionPolicy{Fence: o.tenure.fence, Admissions: map[int]Admission{quick: {RetryAfter: 6 * time.Second}}})
+	require.Equal(t, http.StatusOK, post(idA, "q").Code, "the job was accepted before")
 	w := post(idB, "q")
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	require.Equal(t, "6", w.Header().Get("Retry-After"))
-	_, there := s.Value(recordKey(idB))
-	require.False(t, there, "what was refused was never sent")
-	require.Equal(t, http.StatusOK, post(idB, "p").Code, "the other queue is not full")
+	_, stored := s.Value(recordKey(idB))
+	require.False(t, stored, "a refused job is never written")
+	require.Equal(t, http.StatusOK, post(idB, "p").Code, "the other queue is not limited")
 	const idC, idD = "00000000000000cc", "00000000000000dd"
-	say(AdmissionPolicy{Fence: o.tenure.fence - 1, Admissions: map[int]Admission{quick: {RetryAfter: 6 * time.Second}}})
-	require.Equal(t, http.StatusServiceUnavailable, post(idC, "q").Code, "the new owner has not said anything yet")
-	say(AdmissionPolicy{Fence: o.tenure.fence})
-	require.Equal(t, http.StatusOK, post(idC, "q").Code, "its own word counts")
-	say(AdmissionPolicy{Fence: o.tenure.fence - 1, Admissions: map[int]Admission{quick: {RetryAfter: 6 * time.Second}}})
+	publish(AdmissionPolicy{Fence: o.tenure.fence - 1, Admissions: map[int]Admission{quick: {RetryAfter: 6 * time.Second}}})
+	require.Equal(t, http.StatusServiceUnavailable, post(idC, "q").Code, "the new owner has not published a policy yet")
+	publish(AdmissionPolicy{Fence: o.tenure.fence})
+	require.Equal(t, http.StatusOK, post(idC, "q").Code, "the new owner's policy is in force")
+	publish(AdmissionPolicy{Fence: o.tenure.fence - 1, Admissions: map[int]Admission{quick: {RetryAfter: 6 * time.Second}}})
 	n.election.admissionAt = n.election.admissionAt.Add(-admissionTTL)
-	require.Equal(t, http.StatusOK, post(idD, "q").Code, "an earlier owner's word does not hold for ever")
+	require.Equal(t, http.StatusOK, post(idD, "q").Code, "an earlier owner's policy expires")
 }
 
-// A takeover on a narrow link takes seconds, in which nobody says that queues are full: all
-// jobs that came were taken, and stood behind those that the queues had been full of.
+// A takeover on a narrow link takes seconds. If the policy lapsed meanwhile, all arriving
+// jobs would be accepted and queue behind the backlog that the policy was made for.
 func TestNextOwnerRepublishesAdmissionAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.core.flow = newFlowControl(Size{LinkMbps: 2}, f.now)
@@ -145,41 +146,41 @@
 		e.Jobs = append(e.Jobs, JobAccepted{ID: ID(fmt.Sprintf("%016x", i)), Record: rec, Created: 50})
 	}
 	f.step(e)
-	full := f.publishedPolicy()
-	require.Equal(t, f.core.fence, full.Fence)
-	require.Contains(t, full.Admissions, quick, "full as it was")
+	policy := f.publishedPolicy()
+	require.Equal(t, f.core.fence, policy.Fence)
+	require.Contains(t, policy.Admissions, quick, "limited as before")
 	f.pass(time.Second)
 	require.Contains(t, f.publishedPolicy().Admissions, quick)
 }
 
-// A next owner that finds room opens the queues that the one before had closed.
+// A new owner without a backlog lifts the limits of the owner before.
 func TestNextOwnerOpensQueuesThatAreNotFull(t *testing.T) {
 	f := newFixture(t)
 	f.step(Inherited{Config: testConfig(), Admission: AdmissionPolicy{Fence: 50, Admissions: map[int]Admission{quick: {Fraction: 0.9}}}})
-	full := f.publishedPolicy()
-	require.Equal(t, f.core.fence, full.Fence)
-	require.Empty(t, full.Admissions)
+	policy := f.publishedPolicy()
+	require.Equal(t, f.core.fence, policy.Fence)
+	require.Empty(t, policy.Admissions)
 }
 
-// herd are callers of one queue, some of whom were refused and come back.
+// herd simulates the callers of one queue, who retry when they are refused.
 type herd struct {
 	*fixture
-	// retryAt are the refused callers by when they come back, tries how often they have.
+	// retryAt is when refused callers retry, tries how often they were refused.
 	retryAt map[ID]time.Time
 	tries   map[ID]int
-	// taken are the jobs that were taken, cameAt when their callers first came.
+	// taken is when jobs were accepted, cameAt when they were first submitted.
 	taken, cameAt map[ID]time.Time
 	begun         []time.Duration
 	next          int
 }
 
-// newHerd returns the callers of an owner whose link carries some 150 starts a second.
+// newHerd returns callers of an owner whose link carries some 150 starts a second.
 func newHerd(t *testing.T) *herd {
 	f := newNarrowFixture(t)
 	return &herd{fixture: f, retryAt: map[ID]time.Time{}, tries: map[ID]int{}, taken: map[ID]time.Time{}, cameAt: map[ID]time.Time{}}
 }
 
-// arrive has n new jobs come in, and those callers that were told to come back by now.
+// arrive submits n new jobs and the retries that are due.
 func (h *herd) arrive(n int) {
 	for range n {
 		h.next++
@@ -194,10 +195,10 @@
 	}
 }
 
-// offer hands a job in, as an entry host would take it. Callers come four times.
+// offer submits a job if an entry host would admit it. Callers give up after four refusals.
 func (h *herd) offer(id ID) {
 	delete(h.retryAt, id)
-	if a, full := h.publishedPolicy().Admissions[quick]; !full || a.admits(id, 1) {
+	if a, limited := h.publishedPolicy().Admissions[quick]; !limited || a.admits(id, 1) {
 		h.taken[id] = h.now
 		s := oneTask()
 		s.Count = 10
@@ -209,32 +210,32 @@
 	}
 }
 
-// simulate lets time pass with twice as much work as the link carries, and notes how long jobs
-// wait for the first of their starts.
+// simulate advances the time with twice as much work as the link carries, and records how
+// long jobs wait for their first start.
 func (h *herd) simulate(d time.Duration) {
-	begun := map[ID]bool{}
+	started := map[ID]bool{}
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.arrive(2)
 		h.pass(tickEvery)
 		for _, s := range h.starts() {
 			h.took(s)
 			id, _, _ := strings.Cut(s.Order.Task, ".")
-			if !begun[ID(id)] {
-				begun[ID(id)] = true
+			if !started[ID(id)] {
+				started[ID(id)] = true
 				h.begun = append(h.begun, h.now.Sub(h.cameAt[ID(id)]))
 			}
 		}
 	}
 }
 
-// An owner whose link carries some 150 starts a second takes what can begin soon, and no
-// more. With four seconds of starts taken ahead of a job, and all or nothing of what comes,
-// half of the jobs that were taken began within 4.5 s; with 1.5 s and all or nothing within
-// 3.5 s; with a share within 1.1 s.
+// An owner whose link carries some 150 starts a second must accept no more jobs than can
+// start soon. Admitting all or nothing, half of the accepted jobs started only within 4.5 s
+// with a limit of 4 s of pending starts, and within 3.5 s with 1.5 s; with an admitted
+// fraction they start within 1.1 s.
 func TestAdmittedJobsStartSoonOnANarrowLink(t *testing.T) {
 	h := newHerd(t)
 	h.simulate(40 * time.Second)
-	t.Logf("of %d jobs %d taken, %d begun; half of them within %s", h.next, len(h.taken), len(h.begun), median(h.begun))
+	t.Logf("of %d jobs %d accepted, %d started; half of them within %s", h.next, len(h.taken), len(h.begun), median(h.begun))
 	require.Less(t, median(h.begun), 2500*time.Millisecond)
 	require.Greater(t, len(h.begun), 400, "the link carries some 15 jobs a second")
 }
@@ -254,9 +255,9 @@
 	require.InDelta(t, 300, n, 50)
 }
 
-// On a link of 20 Mbit/s an owner that has just taken over is busy with its first looks for
-// half a second: what it could send in that time is no measure, and a twelfth of the jobs
-// of a heavy day were refused for it.
+// On a link of 20 Mbit/s a new owner is busy with its first polls for half a second, in
+// which its send rate says nothing about its capacity. Limiting admission on that evidence
+// refused a twelfth of the jobs of a heavy day.
 func TestSingleOverloadDoesNotLimitAdmission(t *testing.T) {
 	a := Admission{Fraction: 1}.adjust(2*limitAboveDelay, 0)
 	require.EqualValues(t, 1, a.Fraction)
