--- a/job/keys_test.go
+++ b/job/keys_test.go
@@ -17,13 +17,13 @@
 	"amberway/platform"
 )
 
-// Keys of the teams below.
+// Keys of the teams of keyedConfig, and one of no team.
 const (
 	keyA, keyB, keyShared = "key-of-paint", "key-of-tint", "key-of-both"
 	unknown               = "key-of-nobody"
 )
 
-// keyedConfig is testConfig with two teams and a public queue.
+// keyedConfig returns testConfig with teams and a public queue.
 func keyedConfig(version int64) *platform.Deployed {
 	d := testConfig()
 	d.Version = version
@@ -44,7 +44,7 @@
 	return n
 }
 
-// callWith sends a caller's request with the key, "" for none.
+// callWith serves a caller's request with the key, or without one if it is "".
 func callWith(n *Node, method, path, key string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "http://h"+path, strings.NewReader(`{"spec":"s","steps":[{"count":1,"cpu":100}]}`))
 	if key != "" {
@@ -55,9 +55,8 @@
 	return w
 }
 
-// Callers ran jobs with keys that no team holds: every call was taken, whatever key it
-// carried. 21 of 2,592 jobs of a quiet day were run so, and keys that had been taken away
-// went on working for good.
+// Every call was accepted, whatever its key: 21 of 2,592 jobs of a quiet day were run with
+// keys of no team, and revoked keys worked forever.
 func TestCallsNeedAKeyOfATeam(t *testing.T) {
 	n := newKeyedNode(t)
 	go n.intake.run(t.Context())
@@ -72,7 +71,7 @@
 		}
 	}
 	_, err := n.KV.Get(t.Context(), recordKey(idA))
-	require.ErrorIs(t, err, platform.ErrNotFound, "nothing was written")
+	require.ErrorIs(t, err, platform.ErrNotFound, "nothing is written")
 	require.Equal(t, http.StatusOK, callWith(n, http.MethodPost, "/q/"+idA, keyB).Code)
 	require.Equal(t, "tint", recordOf(t, n, idA).Team)
 	require.Equal(t, http.StatusOK, callWith(n, http.MethodGet, "/q/"+idA, keyA).Code)
@@ -81,7 +80,7 @@
 	require.Equal(t, http.StatusOK, callWith(n, http.MethodPost, "/o/00000000000000cc", unknown).Code)
 }
 
-// A key that stands in two teams lets callers in as the first of them.
+// A key that is listed for two teams belongs to the first of them.
 func TestKeyOfTwoTeamsIsThatOfTheFirst(t *testing.T) {
 	n := newKeyedNode(t)
 	go n.intake.run(t.Context())
@@ -97,8 +96,8 @@
 	return r
 }
 
-// Operators without teams need no keys, unless the settings say that callers do: a
-// configuration without its teams then lets nobody in.
+// Without teams in the configuration callers need no keys, unless the settings require them:
+// then nobody has access.
 func TestCallersNeedNoKeysWhereThereAreNoTeams(t *testing.T) {
 	n := newKeyedNode(t)
 	n.routes.Store(newRoutes(testConfig()))
@@ -108,30 +107,29 @@
 	d := testConfig()
 	d.Teams = []platform.Team{}
 	n.routes.Store(newRoutes(d))
-	require.Equal(t, http.StatusUnauthorized, callWith(n, http.MethodGet, "/q/", keyA).Code, "its teams are there, and have no keys")
+	require.Equal(t, http.StatusUnauthorized, callWith(n, http.MethodGet, "/q/", keyA).Code, "the list of teams is there but empty")
 }
 
-// A host that has not heard of the configuration for a while does not know which keys have
-// been taken away or are new: it sends callers elsewhere, and does not take a key that may
-// be new for a wrong one.
+// A host whose configuration may be outdated does not know which keys are revoked or new. It
+// answers 503, so that callers try another host, instead of rejecting a key that may be new.
 func TestHostWithStaleKeysRefusesCallers(t *testing.T) {
 	n := newKeyedNode(t)
-	at := func(age time.Duration) (known, unknownCode int) {
+	statusAt := func(age time.Duration) (known, other int) {
 		n.configCurrentAt.Set(time.Now().Add(-age))
 		return callWith(n, http.MethodGet, "/q/"+idA, keyA).Code, callWith(n, http.MethodGet, "/q/"+idA, unknown).Code
 	}
-	known, other := at(2 * time.Second)
+	known, other := statusAt(2 * time.Second)
 	require.Equal(t, http.StatusGone, known)
 	require.Equal(t, http.StatusUnauthorized, other)
-	known, other = at(3 * time.Second)
-	require.Equal(t, http.StatusGone, known, "a key that was taken away may go on working for five seconds")
+	known, other = statusAt(3 * time.Second)
+	require.Equal(t, http.StatusGone, known, "a revoked key may be accepted for five seconds")
 	require.Equal(t, http.StatusServiceUnavailable, other, "the key may be new")
-	known, other = at(4500 * time.Millisecond)
-	require.Equal(t, http.StatusServiceUnavailable, known, "the key may have been taken away")
+	known, other = statusAt(4500 * time.Millisecond)
+	require.Equal(t, http.StatusServiceUnavailable, known, "the key may have been revoked")
 	require.Equal(t, http.StatusServiceUnavailable, other)
 }
 
-// putTeamKeys writes a configuration with the keys of one team.
+// putTeamKeys stores a configuration with one team and its keys.
 func putTeamKeys(t *testing.T, s storeFixture, version int64, keys ...string) {
 	require.NoError(t, s.Put(platform.ConfigKey, fleet.Config{
 		Version: version,
@@ -141,7 +139,8 @@
 	}.Row("spare")))
 }
 
-// isolatedHost is a host that the store turns away, beside an owner that it serves.
+// isolatedHost is an entry host that the store refuses to serve, beside an owner that it
+// serves.
 type isolatedHost struct {
 	*Node
 	store storeFixture
@@ -155,9 +154,9 @@
 	go owner.followOperator(t.Context())
 	h := httptest.NewServer(owner.Peers())
 	t.Cleanup(h.Close)
-	refuses := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
-	t.Cleanup(refuses.Close)
-	kv := platform.NewKV(netip.MustParseAddrPort(strings.TrimPrefix(refuses.URL, "http://")), &platform.Calls{})
+	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
+	t.Cleanup(refusing.Close)
+	kv := platform.NewKV(netip.MustParseAddrPort(strings.TrimPrefix(refusing.URL, "http://")), &platform.Calls{})
 	n := newTestNode(t, storeFixture{kv: kv})
 	n.authorizer = authorizer{required: true, keysWithin: 5 * time.Second, newKeysWithin: 3 * time.Second}
 	n.settings.Name = "turned-away"
@@ -167,7 +166,7 @@
 	return isolatedHost{Node: n, store: s, owner: owner}
 }
 
-// judged returns what the host says of a key now.
+// judged returns the host's present decision about a key.
 func (n isolatedHost) judged(key string) access {
 	r := n.routes.Load()
 	if r == nil {
@@ -178,20 +177,19 @@
 	return e
 }
 
-// The store turned single hosts away for nine seconds while it took keys away: these hosts
-// went on with the keys that they knew, and refused new ones. They hear of them from the
-// owner now, as long as it hears of them itself.
+// The store refused to serve single hosts for nine seconds while keys changed. Such a host
+// must not go on with outdated keys: it gets the configuration from the owner instead.
 func TestHostWithoutStoreGetsKeysFromTheOwner(t *testing.T) {
 	n := newIsolatedHost(t)
 	const within = 3 * time.Second
 	require.Eventually(t, func() bool { return n.judged(keyA) == granted && n.judged(keyB) == unknownKey }, within, 20*time.Millisecond)
 	putTeamKeys(t, n.store, 9, keyB)
 	require.Eventually(t, func() bool { return n.judged(keyA) == unknownKey && n.judged(keyB) == granted }, within, 20*time.Millisecond)
-	require.Less(t, time.Since(n.configCurrentAt.Get()), within, "it knows that it is current")
+	require.Less(t, time.Since(n.configCurrentAt.Get()), within, "the host knows that its configuration is current")
 }
 
-// What another host tells is as old as its own last word from the store, and one that
-// never had any tells nothing.
+// The configuration from another host is as old as that host's last confirmation by the
+// store. A host without any confirmation provides none.
 func TestConfigurationOfAnotherHostKeepsItsAge(t *testing.T) {
 	n := newKeyedNode(t)
 	n.routes.Load().written = []byte("text")
@@ -204,16 +202,16 @@
 	require.NoError(t, err)
 	require.Equal(t, "text", string(c.raw))
 	require.WithinDuration(t, time.Now().Add(-4*time.Second), c.currentAt, time.Second)
-	require.False(t, c.currentAt.After(n.configCurrentAt.Get()), "never younger than it is")
+	require.False(t, c.currentAt.After(n.configCurrentAt.Get()), "never newer than at the host it comes from")
 	c, err = p.config(t.Context(), o, 1, time.Now)
 	require.NoError(t, err)
-	require.Nil(t, c.raw, "the asker has it")
+	require.Nil(t, c.raw, "the asking host has this version")
 	n.configCurrentAt = common.Instant{}
 	_, err = p.config(t.Context(), o, 0, time.Now)
 	require.ErrorIs(t, err, errNoConfig)
 }
 
-// No key shows in a log line, also where its caller is turned away.
+// Keys appear in log lines as short hashes only.
 func TestKeysAreNotLogged(t *testing.T) {
 	key, given := platform.Key(http.Header{"Authorization": {"bearer  " + unknown}})
 	require.True(t, given)
@@ -223,8 +221,8 @@
 	require.Len(t, key.String(), 8)
 }
 
-// BenchmarkKeys is what one call pays for its key: hashing it and finding its team. It
-// takes the same at 20 keys and at 10,000.
+// BenchmarkKeys measures the authorization of one call: hashing its key and finding the
+// team. It takes the same time with 20 keys and with 10,000.
 func BenchmarkKeys(b *testing.B) {
 	for _, n := range []int{20, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -233,13 +231,13 @@
 				d.Teams = append(d.Teams, platform.Team{Name: fmt.Sprint("team-", i/2), Keys: []platform.KeyHash{platform.HashKey(fmt.Sprint("key-", i))}})
 			}
 			r := newRoutes(d)
-			k := authorizer{required: true, keysWithin: 5 * time.Second, newKeysWithin: 3 * time.Second}
+			a := authorizer{required: true, keysWithin: 5 * time.Second, newKeysWithin: 3 * time.Second}
 			h := http.Header{"Authorization": {"Bearer key-7"}}
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, e := k.authorize(r, d.Queues[0], h, now, now); e != granted {
-					b.Fatal("a key in force is not let in")
+				if _, e := a.authorize(r, d.Queues[0], h, now, now); e != granted {
+					b.Fatal("a key in force is rejected")
 				}
 			}
 		})
--- a/job/left_out_test.go
+++ b/job/left_out_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// A store's entry may come from another writer, and name a service that no configuration
-// does: it names no worker to use, and is not even asked.
+// A record in the store may come from another writer and name a service that is not
+// configured. Its worker is not used and not even polled.
 func TestWorkerOfAnUnconfiguredServiceIsNotPolled(t *testing.T) {
 	f := newFixture(t)
 	w := testWorker("w1")
@@ -23,7 +23,7 @@
 
 	f.join("w2")
 	f.submit(idA, "quick", oneTask())
-	require.Len(t, f.starts(), 1, "the others hold")
+	require.Len(t, f.starts(), 1, "other workers are used")
 }
 
 func TestWorkerIsUsedOnceItsServiceIsConfigured(t *testing.T) {
@@ -38,7 +38,7 @@
 	require.Contains(t, f.looks, platform.WorkerID("w1"))
 }
 
-// A worker that is gone by the time is not taken in.
+// A worker that was removed before its service is configured is not used.
 func TestRemovedWorkerIsNotUsedOnceItsServiceIsConfigured(t *testing.T) {
 	for name, gone := range map[string]Event{"one": WorkerUnlisted{Name: "w1"}, "all": WorkerList{}} {
 		t.Run(name, func(t *testing.T) {
@@ -56,8 +56,7 @@
 	}
 }
 
-// Runs of a worker whose service has gone from the configuration go on, also under the
-// next owner, which knows it from the one before.
+// The runs of a worker go on when its service is removed from the configuration.
 func TestWorkerOfADroppedServiceKeepsItsRuns(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -75,8 +74,8 @@
 	require.Len(t, f.core.workers["w1"].runs, 1)
 }
 
-// A record that no entry host has written is no job, and what cannot be read of an owner's
-// entries does not keep the next one from taking over.
+// A record that no entry host can have written is rejected, and does not keep an owner from
+// taking over.
 func TestInvalidJobRecordIsRejected(t *testing.T) {
 	for name, e := range map[string]platform.Entry{
 		"no object":      {Key: recordKey(idA), Value: []byte(`[1]`)},
@@ -103,8 +102,8 @@
 	}
 }
 
-// A part of the roster that cannot be read may have named workers with runs: jobs of
-// earlier owners wait until those must have lapsed, and new ones go on at once.
+// An unreadable part of the roster may name workers with runs. Jobs of earlier owners
+// wait until the leases of such workers must have expired; new jobs start at once.
 func TestUnreadableRosterDelaysInheritedJobsOnly(t *testing.T) {
 	r := ownerStore{rosterShardKey(3): []byte(`{"x":`), rosterShardKey(4): []byte(`[{"i":"w9","s":"green","a":"10.0.0.9:80"}]`)}.roster()
 	require.True(t, r.has("w9"))
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// weightedConfig is testConfig with two teams of which "paint" may send ten jobs a second and
-// "tint" one.
+// weightedConfig returns testConfig with the teams "paint", whose share is ten jobs a
+// second, and "tint", whose share is one.
 func weightedConfig() *platform.Deployed {
 	d := testConfig()
 	d.Version = 2
@@ -19,10 +19,10 @@
 	return d
 }
 
-// One team sent twelve times its usual: its jobs came first in the order of their time, and
-// the others' came late behind them. The load here: a worker of four cores, jobs of a
-// second, one team that sends ten a second where its share is one, and another that sends
-// 2.5 a second within its own.
+// When one team sent twelve times its usual load, its jobs delayed those of other teams,
+// since all were placed in the order of arrival. Here a worker of four cores runs jobs of
+// one second; one team submits ten a second with a share of one, the other 2.5 a second
+// within its share.
 func TestJobsBeyondAShareWaitBehindOthers(t *testing.T) {
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: weightedConfig()})
@@ -46,11 +46,11 @@
 		f.pass(100 * time.Millisecond)
 		f.endAll("w1")
 	}
-	require.GreaterOrEqual(t, began["paint"], 22, "of 25, all within its share; 8 in the order of their time")
-	require.GreaterOrEqual(t, began["tint"], 10, "what is left, and at least its own share")
+	require.GreaterOrEqual(t, began["paint"], 22, "of 25, all within its share; in the order of arrival 8")
+	require.GreaterOrEqual(t, began["tint"], 10, "the remaining capacity, and at least its share")
 }
 
-// endAll answers the look at a worker: what has run for a second has ended.
+// endAll answers the pending poll of a worker: runs of a second or more have ended.
 func (f *fixture) endAll(id string) {
 	w := f.core.workers[platform.WorkerID(id)]
 	var l platform.PollReply
@@ -61,12 +61,12 @@
 			l.Running = append(l.Running, platform.RunningRow{Task: r.task.key().String(), Run: r.number, Percent: 50})
 		}
 	}
-	if _, looked := f.looks[platform.WorkerID(id)]; looked {
+	if _, polled := f.looks[platform.WorkerID(id)]; polled {
 		f.answer(id, l)
 	}
 }
 
-// What is beyond a share waits for ten seconds at most, however much others send.
+// Jobs beyond a share wait for maxShareWait at most, however much other teams submit.
 func TestJobsBeyondAShareDoNotWaitForEver(t *testing.T) {
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: weightedConfig()})
@@ -101,8 +101,8 @@
 	require.False(t, (*team)(nil).spend(now), "jobs of public queues have no share")
 }
 
-// Where queues are full, less is taken of a team that sends beyond its share, and all of it
-// again once it does not.
+// While admission is limited, a smaller fraction is admitted of a team that exceeds its
+// share, and all of its jobs again after it stops.
 func TestTeamBeyondItsShareIsRefusedFirst(t *testing.T) {
 	f := newNarrowFixture(t)
 	f.step(ConfigChanged{Config: weightedConfig()})
@@ -115,14 +115,14 @@
 			f.run(100 * time.Millisecond)
 		}
 	}
-	full := f.publishedPolicy()
-	require.Contains(t, full.Admissions, patient)
-	require.Less(t, full.TeamFractions["tint"], 0.2)
-	require.Positive(t, full.TeamFractions["tint"])
-	require.Greater(t, full.TeamFractions["paint"], 3*full.TeamFractions["tint"], "it sends twice its share, the other sixty times")
+	policy := f.publishedPolicy()
+	require.Contains(t, policy.Admissions, patient)
+	require.Less(t, policy.TeamFractions["tint"], 0.2)
+	require.Positive(t, policy.TeamFractions["tint"])
+	require.Greater(t, policy.TeamFractions["paint"], 3*policy.TeamFractions["tint"], "paint sends twice its share, tint sixty times")
 	e := newElection(nil, Owner{}, Size{}, nil, time.Now, neverSuspended)
 	e.admission = AdmissionPolicy{Admissions: map[int]Admission{quick: {Fraction: 1}}, TeamFractions: map[string]float64{"tint": 0.1}}
-	taken := func(team string) (n int) {
+	admitted := func(team string) (n int) {
 		for i := range 100 {
 			if _, _, refused := e.refusedUntil(ID(fmt.Sprintf("%016x", i)), caller{team: platform.Team{Name: team}}); !refused {
 				n++
@@ -130,8 +130,8 @@
 		}
 		return n
 	}
-	require.Equal(t, 100, taken("paint"))
-	require.InDelta(t, 10, taken("tint"), 8)
+	require.Equal(t, 100, admitted("paint"))
+	require.InDelta(t, 10, admitted("tint"), 8)
 	for i := range 200 {
 		f.step(CancelRequested{ID: ID(fmt.Sprintf("%016x", i))})
 	}
--- a/job/soon_test.go
+++ b/job/soon_test.go
@@ -9,8 +9,8 @@
 	"amberway/platform"
 )
 
-// A pool has hosts on their way for a step that opens by the time they take tasks,
-// and for none that opens later.
+// A pool orders hosts for a step that will be unblocked by the time they run tasks, but not
+// for one that is unblocked later.
 func TestPoolWantsHostsForStepsThatAreAboutToOpen(t *testing.T) {
 	for _, v := range []struct {
 		first time.Duration
@@ -33,12 +33,12 @@
 			require.EqualValues(t, 1000, got)
 		}
 		f.pass(4 * arrivalWindow)
-		require.Equal(t, v.wants, f.core.wantedHosts("blue") > 10, "once the rise of the load is forgotten")
+		require.Equal(t, v.wants, f.core.wantedHosts("blue") > 10, "after the arrivals have decayed")
 	}
 }
 
-// A job that may not run yet, since a worker of an earlier owner has not answered,
-// holds no hosts: they would stand idle until that worker's leases have lapsed.
+// A job that may not run yet because a worker of an earlier owner has not answered reserves
+// no hosts: they would stay idle until that worker's leases have expired.
 func TestPoolHoldsNoHostsForJobsThatMayNotRunYet(t *testing.T) {
 	f := newFixture(t)
 	s := oneTask()
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// cappedConfig is testConfig with the team "paint", which may have as much running, and "tint",
-// which may have anything.
+// cappedConfig returns testConfig with the teams "paint", which has the cap, and "tint",
+// which has none.
 func cappedConfig(version int64, limit platform.Resources) *platform.Deployed {
 	d := testConfig()
 	d.Version = version
@@ -23,7 +23,7 @@
 	return platform.Resources{MilliCores: 1000 * n}
 }
 
-// handIn hands a job of a team in.
+// handIn submits a job of a team.
 func (f *fixture) handIn(id, team, queue string, steps ...platform.Step) {
 	r := NewRecord(f.core.queues[queue], platform.Submission{Spec: "spec", Steps: steps}, f.now)
 	r.Team = team
@@ -31,7 +31,7 @@
 	f.step(JobAccepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
 }
 
-// tasksOf returns a step of n tasks that take a core each.
+// tasksOf returns a step of n tasks that take one core each.
 func tasksOf(n int) platform.Step {
 	return platform.Step{Count: n, Resources: platform.Resources{MilliCores: 1000, MemoryMB: 10}, Estimate: time.Second}
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// One team sent twelve times its usual, and had as much running as the workers had room
-// for, 2,724 cores where 2,472 were its bound: nothing counted what a team has running.
+// Nothing limited what a team had running: one that sent twelve times its usual load took
+// all room on the workers, 2,724 cores with a cap of 2,472.
 func TestTeamHasNoMoreRunningThanItsCap(t *testing.T) {
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(2))})
@@ -52,8 +52,8 @@
 	f.handIn(idB, "tint", "patient", tasksOf(3))
 	l := f.starts()
 	mine, others := byJob(l, idA), byJob(l, idB)
-	require.Len(t, mine, 2, "its cap is two cores")
-	require.Len(t, others, 3, "what waits for a cap holds nobody up")
+	require.Len(t, mine, 2, "the cap is two cores")
+	require.Len(t, others, 3, "tasks that wait for a cap do not block others")
 	f.tookAll(l)
 	f.pass(100 * time.Millisecond)
 	require.Empty(t, f.starts())
@@ -64,7 +64,7 @@
 		Ended:   []platform.EndedRow{ended(1, mine[0], platform.EndDone)},
 		Running: rowsOf(l, mine[0]),
 	})
-	require.Len(t, f.starts(), 1, "an end makes room below the cap")
+	require.Len(t, f.starts(), 1, "a run that ends makes room below the cap")
 }
 
 // byJob returns the orders for tasks of the job.
@@ -78,7 +78,7 @@
 	return of
 }
 
-// rowsOf lists the runs at the worker of one of them, but for that one.
+// rowsOf lists the runs on the same worker as the given one, without that one.
 func rowsOf(l []StartRun, gone StartRun) []platform.RunningRow {
 	var rows []platform.RunningRow
 	for _, s := range l {
@@ -89,7 +89,7 @@
 	return rows
 }
 
-// Tasks of a team wait in one service for what it has running in another.
+// The cap limits what a team has running in all services together.
 func TestCapHoldsAcrossServices(t *testing.T) {
 	f := newFixture(t)
 	d := cappedConfig(2, cores(1))
@@ -110,7 +110,7 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// What is being stopped, and what was ordered without an answer, still counts.
+// Runs that are being stopped and starts without an answer count against the cap.
 func TestCapCountsWhatMayStillRun(t *testing.T) {
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(1))})
@@ -130,8 +130,8 @@
 	require.Len(t, f.starts(), 1, "the run can never begin")
 }
 
-// The next owner starts nothing of a team beyond its cap while a worker may still run what
-// an earlier owner started there.
+// A new owner counts the runs that an earlier owner may have started on workers that have
+// not answered yet.
 func TestCapHoldsAcrossOwners(t *testing.T) {
 	f := newOwnerFixture(t, 5000)
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(2)}}, f.now)
@@ -148,7 +148,7 @@
 		{Task: idA + ".0.0.0", Run: 7, Percent: 20}, {Task: idA + ".0.0.1", Run: 8, Percent: 20},
 	}})
 	f.pass(100 * time.Millisecond)
-	require.Empty(t, f.starts(), "it does")
+	require.Empty(t, f.starts(), "w1 does run two tasks of the team")
 	f.pass(pollWait)
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{
 		{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndDone}, {Number: 2, Task: idA + ".0.0.1", Run: 8, How: platform.EndDone},
@@ -156,8 +156,8 @@
 	require.Len(t, f.starts(), 2)
 }
 
-// A run of a job that was cancelled counts until it has ended, also for a next owner,
-// which finds it at a worker.
+// A run of a cancelled job counts until it has ended, also for a new owner that finds it on
+// a worker.
 func TestCapCountsRunsOfCancelledJobs(t *testing.T) {
 	f := newOwnerFixture(t, 5000)
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(1)}}, f.now)
@@ -177,12 +177,10 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// A team had 5,500 thousandths of a core running where its cap is 4,000: a worker with its
-// lasting tasks was cut off, and its record went with the cut, as one owner after the other
-// fell. The third of them knew it by the roster only, which does not tell what a worker has:
-// `inherited jobs wait` names it, and jobs that came after that owner were started beside it
-// in the moment in which all other workers had answered. What may run unheard was bounded by
-// what the silent workers have, which was nothing.
+// A worker may be known from the roster only, which does not hold its capacity: its record
+// was deleted while it was cut off and owners changed. What may run on it must count in
+// full. It was limited to the capacity of the workers that had not answered, which was
+// taken for zero, and a team with a cap of 4,000 thousandths of a core had 5,500 running.
 func TestCapCountsRunsOnAWorkerOfUnknownCapacity(t *testing.T) {
 	f := newOwnerFixture(t, 5000)
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(1)}}, f.now)
@@ -195,12 +193,12 @@
 	f.answer("w2", platform.PollReply{})
 	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
 	f.pass(100 * time.Millisecond)
-	require.Empty(t, f.starts(), "the first may run on w1")
+	require.Empty(t, f.starts(), "the task of the first job may run on w1")
 	f.answer("w1", platform.PollReply{})
 	require.Len(t, f.starts(), 1)
 }
 
-// A gang starts whole below the cap or not at all.
+// A gang starts as a whole below the cap or not at all.
 func TestGangWaitsUntilItsTeamMayHaveAllOfIt(t *testing.T) {
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(3))})
@@ -217,8 +215,8 @@
 	require.Len(t, f.starts(), 3)
 }
 
-// Caps change with the configuration, up and down; a team that is gone keeps its last one
-// for the jobs that it handed in.
+// Caps change with the configuration. A team that is removed keeps its last cap for its
+// remaining jobs.
 func TestCapsChangeWithTheConfiguration(t *testing.T) {
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(1))})
@@ -239,10 +237,10 @@
 	f.step(ConfigChanged{Config: gone})
 	require.Zero(t, count())
 	f.step(ConfigChanged{Config: cappedConfig(6, platform.Resources{})})
-	require.Equal(t, 5, count(), "no bound is set")
+	require.Equal(t, 5, count(), "without a cap")
 }
 
-// Hosts are not fetched for work that waits for its team's cap: they would stand idle.
+// No hosts are moved for tasks that wait for their team's cap: they would stay idle.
 func TestWorkBeyondACapAsksForNoHosts(t *testing.T) {
 	wants := func(limit platform.Resources) int {
 		f := newFixture(t)
@@ -259,7 +257,7 @@
 	require.Greater(t, wants(platform.Resources{}), 10)
 }
 
-// What can never run within its team's cap is refused as it comes, and says why.
+// A job that can never run within its team's cap is refused with that reason.
 func TestJobThatNeverFitsItsCapIsRefusedAtOnce(t *testing.T) {
 	n := newKeyedNode(t)
 	go n.intake.run(t.Context())
@@ -278,5 +276,5 @@
 	require.Error(t, checkCap(gang, platform.Team{Cap: cores(2)}))
 	require.NoError(t, checkCap(gang, platform.Team{Cap: cores(3)}))
 	gang.Steps[0].Gang = false
-	require.NoError(t, checkCap(gang, platform.Team{Cap: cores(1)}), "a wide step runs in parts")
+	require.NoError(t, checkCap(gang, platform.Team{Cap: cores(1)}), "without a gang the tasks can run one after the other")
 }
--- a/job/waitlist_test.go
+++ b/job/waitlist_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// A job that is cancelled while it waits asks for no room any more, although
-// nothing else waits for the workers of its service.
+// A job that is cancelled while it waits adds to the demand no longer, even if it was the
+// last one of its service.
 func TestDemandForgetsCancelledJobs(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -23,7 +23,7 @@
 	require.Zero(t, f.core.balance.unplaced["blue"].MilliCores)
 }
 
-// What changes at one service leaves the order of another's jobs alone.
+// A change in one service causes no placement or sorting in another.
 func TestOnlyTheServiceThatChangedIsPlacedAnew(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -33,15 +33,15 @@
 	green.needsPlacement = false
 	blue := f.core.listOf("blue")
 	f.answer("w1", platform.PollReply{Running: nil})
-	require.False(t, blue.needsPlacement || green.needsPlacement, "a look without news places nothing")
+	require.False(t, blue.needsPlacement || green.needsPlacement, "a poll without news requests no placement")
 	f.core.replan("blue")
 	require.True(t, blue.needsPlacement)
-	require.False(t, blue.needsSort, "room alone does not change the order")
+	require.False(t, blue.needsSort, "new room alone does not change the order")
 	require.False(t, green.needsPlacement)
 }
 
-// BenchmarkEnds is the end of one task on one of several services while jobs
-// wait on all: most of what an owner under load has to do.
+// BenchmarkEnds measures the end of a task in one of several services while jobs wait in all
+// of them, which is most of an owner's work under load.
 func BenchmarkEnds(b *testing.B) {
 	for _, jobs := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) { benchmarkEnds(b, jobs) })
@@ -95,7 +95,7 @@
 		now = now.Add(time.Millisecond)
 		id := s.Worker.ID
 		ends[id]++
-		// The task fails, so that there is always one that waits.
+		// The run is stopped, so that its task waits again.
 		do(PollResult{Worker: id, SentAt: now, Poll: platform.PollReply{Clock: 1, Ended: []platform.EndedRow{ended(ends[id], s, platform.EndStopped)}}})
 	}
 }
--- a/job/world_teams_test.go
+++ b/job/world_teams_test.go
@@ -12,24 +12,24 @@
 	"amberway/platform"
 )
 
-// worldTeams are the teams that hand jobs in, and the books of their caps.
+// worldTeams is the state of the teams in a world, with the history of their caps.
 type worldTeams struct {
 	version int64
-	// limit is the cap of the team "paint" in cores' thousandths, limits are all that it
-	// has been, the newest last.
+	// limit is the cap of the team "paint" in thousandths of a core, limits are its earlier
+	// values, the newest last.
 	limit  int64
 	limits []worldLimit
-	// limitOrdered is what the cap of a run's team allowed when it was ordered.
+	// limitOrdered is the highest cap that may have applied when a run was ordered.
 	limitOrdered map[rawRunID]int64
 }
 
-// worldLimit is a cap that was in force until a time.
+// worldLimit is a cap that was in force until some time.
 type worldLimit struct {
 	limit int64
 	until time.Time
 }
 
-// configDelay is how long after a change of caps a start may go by the one before.
+// configDelay is how long after a change starts may still follow the previous cap.
 const configDelay = 500 * time.Millisecond
 
 func newWorldTeams() worldTeams {
@@ -44,12 +44,12 @@
 	return d
 }
 
-// team draws who hands the next job in.
+// team draws the team of the next job.
 func (w *world) team() string {
 	return rapid.SampledFrom([]string{"paint", "paint", "tint", ""}).Draw(w.t, "team")
 }
 
-// changeCap changes the cap of a team while its jobs run. Owners hear of it a little later.
+// changeCap changes the cap of a team while its jobs run. Owners learn of it a little later.
 func (w *world) changeCap() {
 	w.limits = append(w.limits, worldLimit{limit: w.limit, until: w.now})
 	w.limit = rapid.SampledFrom([]int64{2000, 3000, 6000}).Draw(w.t, "cap")
@@ -62,21 +62,21 @@
 	})
 }
 
-// allowed returns the most that a start may bring the team with a cap to, by the caps that
-// were in force within the time: an owner may not have heard of a change by then.
+// allowed returns the highest cap that was in force within the time: an owner may not have
+// learned of a change yet.
 func (w *world) allowed(within time.Duration) int64 {
-	most := w.limit
+	highest := w.limit
 	for _, l := range w.limits {
 		if w.now.Sub(l.until) < within {
-			most = max(most, l.limit)
+			highest = max(highest, l.limit)
 		}
 	}
-	return most
+	return highest
 }
 
-// recordCap keeps what the cap allowed when a start was ordered. An owner that was replaced
-// goes on for ownerAuthority where it is cut off: the next one has kept room for that below
-// the cap of the time when it took over.
+// recordCap records the highest cap that may apply to a start when it is ordered. A replaced
+// owner that is cut off goes on for ownerAuthority. Its successor leaves room for that below
+// the cap at the time of the takeover.
 func (w *world) recordCap(o *worldOwner, a StartRun) {
 	within := configDelay
 	if o.fence != w.store.fence {
@@ -85,8 +85,8 @@
 	w.limitOrdered[rawRunID{task: a.Order.Task, number: a.Order.Run}] = w.allowed(within)
 }
 
-// checkCap checks that a team has no more running than its cap once the run has begun. An
-// order that is carried out late was given by the cap of its time.
+// checkCap checks that the team stays within its cap when the run starts. A start that is
+// carried out late is held to the cap at the time of its order.
 func (w *world) checkCap(rec Record, o platform.StartOrder, s platform.Step) {
 	if rec.Team != "paint" {
 		return
@@ -105,19 +105,18 @@
 			}
 		}
 	}
-	if most := max(w.allowed(configDelay), w.limitOrdered[rawRunID{task: o.Task, number: o.Run}]); used > most {
+	if allowed := max(w.allowed(configDelay), w.limitOrdered[rawRunID{task: o.Task, number: o.Run}]); used > allowed {
 		var beside strings.Builder
 		for _, r := range running {
 			fmt.Fprintf(&beside, "%s run %d since %s takes %d\n", r.task, r.number, r.began.Format("05.000"), r.step.MilliCores)
 		}
-		w.t.Fatalf("%s run %d brings its team at %s to %d beyond its cap of %d, beside\n%s%s",
-			o.Task, o.Run, w.now.Format("05.000"), used, most, &beside, w.notes(anyNote))
+		w.t.Fatalf("%s run %d brings its team at %s to %d, above its cap of %d, beside\n%s%s",
+			o.Task, o.Run, w.now.Format("05.000"), used, allowed, &beside, w.notes(anyNote))
 	}
 }
 
-// TestCapsHoldUnderFaults draws jobs of a team with a cap that changes, changes of owner,
-// crashes, cuts and late orders: what the team has running stays within its cap, and in the
-// end all is done.
+// A team stays within its cap, which changes, despite changes of owner, crashes, cut
+// connections and late orders, and all of its jobs end.
 func TestCapsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
