--- a/job/demand.go
+++ b/job/demand.go
@@ -71,10 +71,10 @@
 			capacity.MilliCores += w.Capacity.MilliCores
 			capacity.MemoryMB += w.Capacity.MemoryMB
 		}
-		unplaced := c.balance.unplaced[d.service]
+		waiting := c.balance.unplaced[d.service]
 		c.emit(LogLine{What: "pool", Fields: []any{
 			"service", d.service, "want", d.want, "have", d.have,
-			"cores_used", used.MilliCores / 1000, "cores", capacity.MilliCores / 1000, "cores_waiting", unplaced.MilliCores / 1000,
+			"cores_used", used.MilliCores / 1000, "cores", capacity.MilliCores / 1000, "cores_waiting", waiting.MilliCores / 1000,
 			"mb_used", used.MemoryMB, "mb", capacity.MemoryMB,
 		}})
 	}
