--- a/job/world_teams_test.go
+++ b/job/world_teams_test.go
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	if highest := max(w.allowed(configDelay), w.limitOrdered[rawRunID{task: o.Task, number: o.Run}]); used > allowed {
+	if highest := max(w.allowed(configDelay), w.limitOrdered[rawRunID{task: o.Task, number: o.Run}]); used > highest {
 		var beside strings.Builder
 		for _, r := range running {
 			fmt.Fprintf(&beside, "%s run %d since %s takes %d\n", r.task, r.number, r.began.Format("05.000"), r.step.MilliCores)
