--- a/job/pools.go
+++ b/job/pools.go
@@ -16,8 +16,8 @@
 	// surplusIdleTimeout applies instead while the pool has a large surplus, as after a
 	// shift of the load.
 	surplusIdleTimeout = 300 * time.Millisecond
-	// A surplus is large above minSurplus hosts and above one surplusDivisor-th of the
-	// pool's demand.
+	// A surplus is large if it exceeds both minSurplus hosts and the pool's demand divided
+	// by surplusDivisor.
 	surplusDivisor = 8
 	minSurplus     = 8
 	// poolPlanInterval is the time between two evaluations of the pools.
@@ -78,8 +78,8 @@
 	return ""
 }
 
-// recycleTainted moves the machines of tainted workers to the spare pool, which gives each
-// a new incarnation.
+// recycleTainted moves the machines of tainted workers to the spare pool. The move starts a
+// new incarnation of the worker.
 func (c *Core) recycleTainted(spare string) {
 	for _, w := range c.workers {
 		m := c.machinesByName[w.Host]
--- a/job/teams.go
+++ b/job/teams.go
@@ -12,7 +12,7 @@
 // team, which has neither cap nor share.
 type team struct {
 	platform.Team
-	// used is what its runs take on all workers. Runs count that are being stopped, whose
+	// used is what its runs take on all workers, including runs that are being stopped, whose
 	// start is unconfirmed, or that an earlier owner started.
 	used platform.Resources
 	// uncontactedUsage is what runs that earlier owners started may take on workers that
