--- a/job/admission.go
+++ b/job/admission.go
@@ -13,9 +13,9 @@
 	// limitAboveDelay is the delay of the starts ahead of a new job above which the
 	// admitted fraction falls; below growBelowDelay it rises. A job has a second or two
 	// beyond its run time, and each of its steps waits. With 4 s and 2 s, and 10 s for
-	// maxBacklogDelay, owners behind links of 2 Mbit/s accepted too much: 0.40 of the jobs
-	// were accepted in vain and 27 of 48 simulated days broke a guarantee, against 0.22
-	// and 16 with these.
+	// maxBacklogDelay, owners behind links of 2 Mbit/s accepted too much: callers waited in
+	// vain for 0.40 of their jobs and 27 of 48 simulated days broke a guarantee, against
+	// 0.22 and 16 with these.
 	limitAboveDelay = 1500 * time.Millisecond
 	growBelowDelay  = 750 * time.Millisecond
 	// maxBacklogDelay limits the delay of all pending starts, including those of jobs that
@@ -25,9 +25,9 @@
 	// fractionDecrease multiplies the admitted fraction at each evaluation under overload,
 	// fractionIncrease at each with room to spare; a fraction below minFraction becomes
 	// zero. Admitting all or nothing made refused callers return all at once when a queue
-	// opened: half a second brought work for three to six seconds, and behind links of
-	// 2 Mbit/s 0.31 of the work was served and 0.22 done in vain, against 0.35 and 0.13
-	// with a fraction.
+	// opened: half a second brought work for three to six seconds. Behind links of 2 Mbit/s
+	// 0.31 of the work was served and callers waited in vain for 0.22, against 0.35 and
+	// 0.13 with a fraction.
 	fractionDecrease = 0.4
 	fractionIncrease = 1.3
 	minFraction      = 0.03
@@ -39,7 +39,7 @@
 
 // Admission says which jobs are accepted for the queues of one priority.
 type Admission struct {
-	// Fraction is the fraction of the jobs that is admitted, from 0 to 1.
+	// Fraction is the admitted fraction of the jobs, from 0 to 1.
 	Fraction float64 `json:"s,omitempty"`
 	// RetryAfter is how long callers of refused jobs wait before they retry.
 	RetryAfter time.Duration `json:"w"`
--- a/job/caller_handler.go
+++ b/job/caller_handler.go
@@ -145,7 +145,7 @@
 // caller is the origin of a request: the queue it was sent to and the caller's team.
 type caller struct {
 	queue platform.Queue
-	// team is the zero value if the caller has no key, which only public queues allow.
+	// team is the zero value if the caller needs no key and has none.
 	team platform.Team
 }
 
--- a/job/explain.go
+++ b/job/explain.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// Overview summarizes the state of an entry host and, on the owner's, that of its queues,
+// Overview summarises the state of an entry host and, on the owner's, that of its queues,
 // teams, pools and waves.
 type Overview struct {
 	Name    string          `json:"name"`
@@ -29,7 +29,7 @@
 	Watches int64            `json:"platform_watches"`
 }
 
-// QueueOverview summarizes one queue.
+// QueueOverview summarises one queue.
 type QueueOverview struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
@@ -37,7 +37,7 @@
 	Running int    `json:"running"`
 }
 
-// TeamOverview summarizes one team.
+// TeamOverview summarises one team.
 type TeamOverview struct {
 	Name   string             `json:"name"`
 	Weight float64            `json:"weight"`
@@ -53,7 +53,7 @@
 	Late   int `json:"late"`
 }
 
-// PoolOverview summarizes one pool.
+// PoolOverview summarises one pool.
 type PoolOverview struct {
 	Service  string             `json:"service"`
 	Workers  int                `json:"workers"`
@@ -63,7 +63,7 @@
 	Capacity platform.Resources `json:"capacity"`
 }
 
-// WaveOverview summarizes one maintenance wave.
+// WaveOverview summarises one maintenance wave.
 type WaveOverview struct {
 	Number int64     `json:"number"`
 	Left   int       `json:"left"`
@@ -96,7 +96,7 @@
 	Runs  []RunOverview `json:"runs,omitempty"`
 }
 
-// RunOverview summarizes one run of a task.
+// RunOverview summarises one run of a task.
 type RunOverview struct {
 	Task    string            `json:"task"`
 	Run     int64             `json:"run"`
@@ -105,7 +105,7 @@
 	SentAt  time.Time         `json:"sent_at"`
 }
 
-// Overview summarizes the state of the core.
+// Overview summarises the state of the core.
 func (c *Core) Overview() Overview {
 	o := Overview{Fence: c.fence, Version: c.config.Version}
 	for _, q := range c.config.Queues {
@@ -223,7 +223,7 @@
 	return v
 }
 
-// overview summarizes the state of this host.
+// overview summarises the state of this host.
 func (n *Node) overview() Overview {
 	var o Overview
 	if w := n.localOwner(); w != nil {
--- a/job/outcomes.go
+++ b/job/outcomes.go
@@ -6,8 +6,8 @@
 	"amberway/platform"
 )
 
-// runTimeWeight is the weight of one run in the moving average of its queue, which so
-// reflects about the last twenty runs.
+// runTimeWeight is the weight of one run in the moving average of its queue: the average
+// covers about the last twenty runs.
 const runTimeWeight = 0.05
 
 // runTimeEstimate is the moving average of the run times of a queue's tasks.
@@ -54,7 +54,8 @@
 	quarantineFailures = 3
 	// quarantineFor is how long a quarantined worker gets no starts.
 	quarantineFor = 3 * time.Second
-	// quarantineDivisor limits quarantine to that part of a pool: one worker in three.
+	// quarantineDivisor limits how much of a pool is quarantined at once: one worker in
+	// three.
 	quarantineDivisor = 3
 )
 
