--- a/job/caller_handler.go
+++ b/job/caller_handler.go
@@ -32,7 +32,7 @@
 	node *Node
 }
 
-// ServeHTTP authorizes the caller and routes the request by queue, job id and method.
+// ServeHTTP authorises the caller and routes the request by queue, job id and method.
 func (h callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n := h.node
 	now := n.now()
