--- a/job/availability.go
+++ b/job/availability.go
@@ -124,7 +124,8 @@
 	return w.anyBudgeted(func(r *run) bool { return r.phase == unconfirmed })
 }
 
-// anyBudgeted reports whether f holds for a run on the worker whose step has a disruption budget.
+// anyBudgeted reports whether f holds for a run on the worker whose step has a disruption
+// budget.
 func (w *worker) anyBudgeted(f func(*run) bool) bool {
 	for _, r := range w.runs {
 		if r.task.of.hasDisruptionBudget() && f(r) {
--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -10,20 +10,18 @@
 	"amberway/platform"
 )
 
-// Callers saw more tasks of a lasting job away at once than it may miss. A host was emptied
-// for its upkeep a few seconds after another had been, onto which the job's task had just
-// moved, and the owner stopped that task, at work, while another of its step was away. The
-// line `stop`, its worker is to be emptied, has `away` 2 of `may_miss` 1, `percent` 36 by a
-// look of 430 ms before, `age_ms` 3020: a run that was not at work three seconds after its
-// start was taken for one that never would be, and its stop did not ask how many were away.
-// Its start had been carried out late, and it was at work when the stop came.
+// A run that was still warming up three seconds after its start was considered stuck, and was
+// stopped without regard to its step's disruption budget. Its start had been carried out late:
+// it was ready when the stop arrived, while another task of the step was unavailable. That
+// happened when two hosts were emptied for maintenance within seconds and the task had just
+// moved from the first to the second.
 func TestWarmingRunIsNotStoppedWhileOthersAreUnavailable(t *testing.T) {
 	f := newFixture(t)
 	at := threeReady(f)
 	f.join("w4")
 	f.drain("w1")
 	f.pass(2 * tickEvery)
-	require.Len(t, f.stops(), 1, "the first leaves")
+	require.Len(t, f.stops(), 1, "the run on w1 is stopped")
 	moved := f.moveFrom("w1", at)
 	delete(at, "w2")
 	percent := 0
@@ -41,11 +39,12 @@
 	f.drain(moved.Worker.ID)
 	f.join("w5")
 	warm(warmUp)
-	require.Len(t, f.stops(), 1, "what runs on w2 may be away")
+	require.Len(t, f.stops(), 1, "the task on w2 may be unavailable")
 	require.Len(t, f.noted("stop deferred"), 1)
 }
 
-// moveFrom has the run on the worker end as stopped, and returns the start that follows.
+// moveFrom has the run on the worker end as stopped, and returns the start that follows
+// elsewhere.
 func (f *fixture) moveFrom(id platform.WorkerID, at map[platform.WorkerID]StartRun) StartRun {
 	if _, ok := f.looks[id]; !ok {
 		f.step(StopResult{Worker: id, Run: at[id].Order.Run, Task: at[id].Order.Task, Clock: f.clock})
@@ -59,8 +58,8 @@
 	return l[0]
 }
 
-// missPolls has w2, on which a task of threeAtWork runs, answer nothing for so long that the
-// task may be away, and the task of w1 start on w4, which leaves the start unanswered.
+// missPolls has w2 miss so many polls that its task of threeReady may be unavailable. The task
+// of w1 is started on w4, and the start is not answered yet.
 func missPolls(f *fixture) (at map[platform.WorkerID]StartRun, moved StartRun) {
 	at = threeReady(f)
 	f.join("w4")
@@ -77,19 +76,17 @@
 	return at, l[0]
 }
 
-// answerLate answers the look under way, which has taken for so long.
-func (f *fixture) answerLate(id platform.WorkerID, took time.Duration, l platform.PollReply) {
+// answerLate answers the poll in flight, which was sent the given time ago.
+func (f *fixture) answerLate(id platform.WorkerID, took time.Duration, r platform.PollReply) {
 	delete(f.looks, id)
-	l.Clock = f.clock
-	f.step(PollResult{Worker: id, SentAt: f.now.Add(-took), Poll: l})
+	r.Clock = f.clock
+	f.step(PollResult{Worker: id, SentAt: f.now.Add(-took), Poll: r})
 }
 
-// Lasting tasks that had just moved were stopped at work, three of a step and seven on one
-// host within a millisecond, while others of their steps were away. Their starts had been
-// left without an answer and were carried out late. The log has `start not answered`, and a
-// second later `stop`, its start was not answered, with `away` 2 of `may_miss` 1: one look
-// that did not list the run had been enough to stop it, at whatever time later and however
-// many were away.
+// Ready lasting tasks were stopped while others of their steps were unavailable: three of one
+// step, and seven on one host within a millisecond. The answers to their starts had been lost,
+// and the starts were carried out late. A single poll that did not list such a run was enough
+// to stop it, no matter how old the poll was and how many other tasks were unavailable.
 func TestUnconfirmedStartIsStoppedOnlyWhenKnownAbsent(t *testing.T) {
 	f := newFixture(t)
 	at, moved := missPolls(f)
@@ -104,34 +101,34 @@
 		}
 		f.pass(tickEvery)
 	}
-	require.Empty(t, f.stops(), "it may be at work by now, and the task of w2 may be away")
+	require.Empty(t, f.stops(), "it may be ready by now, and the task of w2 may be unavailable")
 	f.pass(400 * time.Millisecond)
 	f.answer("w4", platform.PollReply{})
-	require.Len(t, f.stops(), 1, "it is not there at this moment")
+	require.Len(t, f.stops(), 1, "it is known to be absent now")
 }
 
-// The same for a run that makes no progress: what stands still may go on at any time.
+// The same for a run that makes no progress, as it may go on at any time.
 func TestStalledRunIsStoppedOnlyWhenKnownUnready(t *testing.T) {
 	f := newFixture(t)
 	at, moved := missPolls(f)
 	f.took(moved)
-	row := platform.PollReply{Running: []platform.RunningRow{runningRow(moved, 40)}}
+	reply := platform.PollReply{Running: []platform.RunningRow{runningRow(moved, 40)}}
 	for range 9 {
 		f.pass(400 * time.Millisecond)
 		f.pollAll(at)
 		if _, ok := f.looks["w4"]; ok {
-			f.answerLate("w4", 400*time.Millisecond, row)
+			f.answerLate("w4", 400*time.Millisecond, reply)
 		}
 	}
-	require.Empty(t, f.stops(), "it may be at work by now, and the task of w2 may be away")
+	require.Empty(t, f.stops(), "it may be ready by now, and the task of w2 may be unavailable")
 	f.pass(400 * time.Millisecond)
-	f.answer("w4", row)
+	f.answer("w4", reply)
 	require.Len(t, f.stops(), 1)
 	require.Equal(t, "it makes no progress", f.noted("stop")[0].Why)
 }
 
-// Behind a narrow link no look is answered soon, and no start of any task of a step may have
-// been: they must not wait for one another without end.
+// Behind a slow link no poll is prompt, and the starts of all tasks of a step may be
+// unconfirmed. They must not wait for one another forever.
 func TestUnconfirmedStartsAreResolvedWhenPollsAreSlow(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -150,10 +147,9 @@
 	require.Len(t, f.stops(), 2)
 }
 
-// A stop of a lasting task that nobody was away beside was not answered, and was sent again
-// 1.1 s later, when four others of its step had gone: `stop sent again`, `sent` 1,
-// `decided_ms` 1130, `away` 4 of `may_miss` 1. The run had begun and was at work by then.
-// Only the decision had asked how many were away.
+// The stop of a lasting task was not answered and was sent again 1.1 s later without checking
+// the disruption budget again. Four other tasks of the step had become unavailable by then,
+// and the run was ready.
 func TestRepeatedStopChecksDisruptionBudgetAgain(t *testing.T) {
 	f := newFixture(t)
 	at := threeReady(f)
@@ -166,11 +162,11 @@
 	f.passReady(at, pollFreshFor)
 	f.step(StopResult{Worker: "w1", Run: w1.Order.Run, Task: w1.Order.Task, Err: common.ErrUnknown})
 	f.passReady(at, time.Second)
-	require.Len(t, f.stops(), 1, "it is at work, and what runs on w2 may be away")
+	require.Len(t, f.stops(), 1, "it is ready, and the task on w2 may be unavailable")
 	require.Len(t, f.noted("stop withdrawn"), 1)
 }
 
-// Two stops that were not answered must not wait for one another without end.
+// Two stops that were not answered must not wait for one another forever.
 func TestUnansweredStopsDoNotDeadlock(t *testing.T) {
 	f := newFixture(t)
 	at := threeReady(f)
@@ -186,24 +182,22 @@
 	require.Len(t, f.stops(), 1)
 }
 
-// A lasting task was stopped at work while another of its step was away, a second after a
-// takeover. The owner before, which only the store had let go, had stopped the other one just
-// before that task's worker first answered the next owner: `run taken over`, then `stop` of
-// the second, `away` 0 by a look of 1.1 s before. A worker lists a run that it was told to
-// stop for as long as the stop takes, and its first answer came so late that the pause after
-// a takeover, which is meant for that, was over a moment later.
+// A ready lasting task was stopped a second after a takeover while another task of its step
+// was being stopped by the previous owner. A worker goes on listing a run while it stops it,
+// so its first answer to the new owner does not prove that the run is ready. The pause in
+// evacuations after a takeover does not cover a first answer that comes late.
 func TestFirstPollDoesNotConfirmAdoptedTasksReady(t *testing.T) {
 	f := newFixture(t)
 	s := oneTask()
 	s.Count, s.Lasting, s.MaxUnavailable, s.MilliCores = 2, true, 1, 4000
 	f.submit(idA, "quick", s)
-	row := func(index int) platform.PollReply {
+	reply := func(index int) platform.PollReply {
 		k := taskKey{id: idA, index: index}
 		return platform.PollReply{Running: []platform.RunningRow{{Task: k.String(), Run: int64(99*runsPerFence + index), Percent: 100}}}
 	}
 	answer := func(id platform.WorkerID, index int) {
 		if _, ok := f.looks[id]; ok {
-			f.answer(string(id), row(index))
+			f.answer(string(id), reply(index))
 		}
 	}
 	f.step(WorkerListed{Worker: testWorker("w1")})
@@ -220,7 +214,7 @@
 		f.pass(tickEvery)
 		answer("w2", 1)
 	}
-	require.Empty(t, f.stops(), "the owner before may have stopped the other one")
+	require.Empty(t, f.stops(), "the previous owner may have stopped the other one")
 	for range 10 {
 		f.pass(tickEvery)
 		answer("w2", 1)
--- a/job/crash.go
+++ b/job/crash.go
@@ -145,11 +145,12 @@
 		return
 	}
 	if t.crashes.All >= t.crashes.limit(alone) {
-		c.finalise(j, platform.StateFailed, "too many workers crashed under task "+t.key().String())
+		c.finalise(j, platform.StateFailed, "workers crashed under task "+t.key().String()+" too often")
 	}
 }
 
-// clearCrashes resets the crash count of the run's task once the run has gone on for stableAfter.
+// clearCrashes resets the crash count of the run's task once the run has gone on for
+// stableAfter.
 func (c *Core) clearCrashes(r *run) {
 	t := r.task
 	if t.crashes.All == 0 || r.knownAge() < stableAfter {
--- a/job/crash_lasting_test.go
+++ b/job/crash_lasting_test.go
@@ -10,17 +10,13 @@
 	"amberway/platform"
 )
 
-// A lasting job was shown as failed, and its four tasks that were at work on sound workers
-// were stopped in the same millisecond and never came back. Three hosts had crashed within
-// a few seconds, each a moment after a start of the same fifth task, which waves had moved
-// on from host to host. The log said `crash counted` three times, with `crashes` 1 to 3, and
-// then `job failed`, workers crashed under task ... as often as is borne, followed by a
-// `stop` of each other task, job is failed. The task had nothing to do with the crashes: what
-// gives up a task that ends after seconds was applied to one that hosts' crashes hit for as
-// long as it lasts.
+// A lasting job failed, and four ready tasks on healthy workers were stopped, because three
+// hosts crashed within a few seconds, each a moment after the job's fifth task had started
+// there. The task had not caused the crashes. A limit for short tasks must not apply to one
+// that meets crashes of hosts for as long as it lasts.
 
-// crashTask has so many workers crash a moment after they have started the task, and
-// returns the starts of the others of its step, which are at work.
+// crashTask has the given number of workers crash just after they have started the same task,
+// and returns the starts of the other tasks of its step, which are ready.
 func crashTask(f *fixture, crashes int) map[platform.WorkerID]StartRun {
 	at := map[platform.WorkerID]StartRun{}
 	f.join("w1", "w2", "w3", "w4")
@@ -48,16 +44,17 @@
 	f := newFixture(t)
 	at := crashTask(f, crashLimit)
 	require.Equal(t, platform.StateRunning, f.state())
-	require.Empty(t, f.stops(), "the others are at work")
+	require.Empty(t, f.stops(), "the others are ready")
 	f.join("w5")
 	f.passReady(at, restartWithin)
 	require.Len(t, f.starts(), 1, "the task runs again in time")
 }
 
-// restartWithin is when a lasting task is to run again after its last run.
+// restartWithin is the time after the end of its last run in which a lasting task has to run
+// again.
 const restartWithin = 6 * time.Second
 
-// A task that does crash its workers costs one of them each crashPauseMost in the end.
+// A task that does crash its workers costs one of them each maxCrashBackoff in the end.
 func TestLastingTaskThatCrashesWorkersBacksOff(t *testing.T) {
 	f := newCrashing(t, 4)
 	s := oneTask()
--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -11,25 +11,23 @@
 	"amberway/platform"
 )
 
-// Users saw a pool of eleven workers brought down again and again: one job's task ended
-// each worker that started it within ten milliseconds, and the owner, which learned of it
-// 0.15 s later from the list of machines, started the task on the next worker at once, and
-// so on for two minutes under three owners in turn. Jobs that shared the pool were late or
-// failed. The log said `run gone`, its worker has ended, and then `start` with no failures,
-// 58 times for that one task in the eleven seconds of the log that were kept: nothing
-// counted crashes, and a worker that has crashed tells of no end.
-
-// crashesAllowed is how many workers one task may bring down: the users bear two more
-// starts after three crashes.
+// One job's task crashed every worker that started it within ten milliseconds. The owner
+// learned of each crash from the machine list 0.15 s later and started the task on the next
+// worker: 58 times in eleven seconds, and for two minutes under three owners in turn, until
+// jobs sharing the pool of eleven workers were late or failed. Crashes did not count as
+// failures, since a crashed worker reports no end.
+
+// crashesAllowed is how many workers one task may crash: two more starts after three crashes are
+// acceptable.
 const crashesAllowed = 5
 
-// crashing is an owner with a pool whose workers end a moment after they have started a
-// task of the job idA. The machine of each has its next life within some seconds.
+// crashing is an owner with a pool whose workers crash just after they have started a task of
+// idA. Each is replaced by another worker at once.
 type crashing struct {
 	*fixture
 	workers int
 	crashes int
-	// kept is what the store has of each job's progress.
+	// kept holds the stored progress of each job.
 	kept map[ID]Progress
 }
 
@@ -47,23 +45,23 @@
 	f.join(fmt.Sprint("life-", f.workers))
 }
 
-// record takes in what the writes since the last call have left of the jobs.
+// record applies the writes since the last call to the stored progress.
 func (f *crashing) record() {
 	for _, a := range f.out {
-		k, ok := a.(WriteStore)
+		w, ok := a.(WriteStore)
 		if !ok {
 			continue
 		}
-		for _, p := range k.Puts {
-			if id, g, err := decodeProgress(platform.Entry{Key: p.Key, Value: p.Value}); err == nil && strings.HasPrefix(p.Key, progressPrefix) {
-				f.kept[id] = g
+		for _, p := range w.Puts {
+			if id, progress, err := decodeProgress(platform.Entry{Key: p.Key, Value: p.Value}); err == nil && strings.HasPrefix(p.Key, progressPrefix) {
+				f.kept[id] = progress
 			}
 		}
 	}
 }
 
-// play lets time pass: what is started is taken, and the workers on which a task of idA
-// has started end. Other tasks are done after half a second.
+// play lets time pass: starts are accepted, and a worker that starts a task of idA crashes.
+// Other tasks succeed after half a second.
 func (f *crashing) play(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
@@ -81,15 +79,15 @@
 	}
 }
 
-// crash ends a life; the machine's next one comes at once, as the machine of each life
-// bears another name here.
+// crash ends a worker and adds the next one. In this fixture each worker has a machine of its
+// own.
 func (f *crashing) crash(id platform.WorkerID) {
 	f.crashes++
 	f.fail(string(id), platform.ErrOtherIncarnation)
 	f.addWorker()
 }
 
-// endOthers has runs of other jobs than idA end well after half a second.
+// endOthers has runs of jobs other than idA succeed after half a second.
 func (f *crashing) endOthers() {
 	for id, w := range f.core.workers {
 		if _, ok := f.looks[id]; !ok {
@@ -110,8 +108,8 @@
 	}
 }
 
-// succeed brings the next owner, which knows what the store holds and finds the workers
-// that are there.
+// succeed replaces the owner by the next one, which inherits what the store holds and the
+// workers that exist.
 func (f *crashing) succeed() {
 	f.record()
 	before := f.core
@@ -153,7 +151,7 @@
 	require.Equal(t, platform.StateFailed, f.kept[idA].State)
 }
 
-// What shares a worker with a task that crashes it is not to be given up with it.
+// Jobs that share a worker with a task that crashes it must not fail with it.
 func TestJobsBesideACrashingTaskSucceed(t *testing.T) {
 	f := newCrashing(t, 3)
 	s := oneTask()
@@ -165,7 +163,7 @@
 	require.Equal(t, platform.StateSucceeded, f.kept[idB].State)
 }
 
-// An owner that counts in its memory alone would leave the next one to begin at nothing.
+// Counts in the memory of one owner only would let the next one start from zero.
 func TestIsolatedTaskWaitsUntilItsCrashesAreStored(t *testing.T) {
 	f := newCrashing(t, 4)
 	f.submit(idA, "patient", oneTask())
@@ -178,8 +176,7 @@
 	require.Equal(t, crashLimit, f.crashes)
 }
 
-// Nothing else starts beside a task on trial, so that its next crash speaks against it
-// alone.
+// Nothing else starts beside an isolated task, so that its next crash has no other suspect.
 func TestIsolatedTaskStartsAlone(t *testing.T) {
 	f := newFixture(t)
 	f.submit(idA, "patient", oneTask())
@@ -195,7 +192,7 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// A task that lasts for weeks sees hosts crash that it has done nothing to.
+// A task that lasts for weeks meets host crashes that it did not cause.
 func TestStableRunClearsCrashes(t *testing.T) {
 	f := newFixture(t)
 	s := oneTask()
@@ -217,8 +214,8 @@
 	require.Equal(t, platform.StateRunning, f.state())
 }
 
-// A start whose answer was lost may not have been carried out: two crashes that are
-// certain give a task up, or more that are not.
+// A start whose answer was lost may not have been carried out, so unconfirmed crashes fail a
+// task only at a higher limit.
 func TestUnconfirmedCrashesFailATaskLater(t *testing.T) {
 	f := newFixture(t)
 	f.submit(idA, "patient", oneTask())
--- a/job/incarnation.go
+++ b/job/incarnation.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// wasReplaced reports whether the record is of an incarnation that was replaced, and logs that it
-// is ignored.
+// wasReplaced reports whether the record is of an incarnation that was replaced, and logs that
+// it is ignored.
 func (c *Core) wasReplaced(v platform.Worker) bool {
 	r, ok := c.replaced[v.ID]
 	if ok {
@@ -138,9 +138,9 @@
 	c.endWorker(w, "the worker has restarted", by)
 }
 
-// answeredBy returns the worker that answered a request to w: w itself, or a later incarnation if
-// it has restarted since. It returns false if the answer is of an incarnation that was already
-// replaced, and so proves nothing.
+// answeredBy returns the worker that answered a request to w: w itself, or a later incarnation
+// if it has restarted since. It returns false if the answer is of an incarnation that was
+// already replaced, and so proves nothing.
 func (c *Core) answeredBy(w *worker, o platform.Origin) (*worker, bool) {
 	if !differ(w.ID.Incarnation(), o.Incarnation) {
 		return w, true
@@ -161,8 +161,8 @@
 	return by, true
 }
 
-// checkAnswerer reports whether an answer is of the worker that was asked. A later incarnation is
-// polled on its own, as the request was not meant for it.
+// checkAnswerer reports whether an answer is of the worker that was asked. A later incarnation
+// is polled on its own, as the request was not meant for it.
 func (c *Core) checkAnswerer(w *worker, o platform.Origin) bool {
 	if o.Invalid != "" && !w.invalidStartLogged {
 		w.invalidStartLogged = true
--- a/job/incarnation_test.go
+++ b/job/incarnation_test.go
@@ -9,18 +9,19 @@
 	"amberway/platform"
 )
 
-// A worker may crash and start again under its name, sooner than its record lapses. What
-// it says of its start is all that tells: the ids here are its name and the time of its
-// start. Before that was read, the next start was taken for the same worker: its ends,
-// numbered anew from one, were taken for those that had been read, its clock for one that
-// had gone back, and its runs of before for runs that go on, until a look missed them.
+// A worker may crash and restart under its name before its record expires, so that only its
+// start time tells the incarnations apart; the ids here consist of name and start time.
+// Without it the later incarnation would be taken for the earlier one: its ends, numbered from
+// one again, for ends already handled, its clock for one that went back, and the lost runs for
+// running ones until a poll does not list them.
 
-// restartFixture is a worker of the fixture that runs one task, and its next incarnation.
+// restartFixture is a worker that runs one task and restarts as secondIncarnation.
 type restartFixture struct {
 	*fixture
 	run StartRun
 }
 
+// The incarnations of w1. The later one has an earlier start time, as the clock has gone back.
 const firstIncarnation, secondIncarnation = "w1@1700000000500", "w1@1700000000400"
 
 func newRestartFixture(t *testing.T, others ...string) *restartFixture {
@@ -34,27 +35,27 @@
 	return &restartFixture{fixture: f, run: l[0]}
 }
 
-// onHost returns the record of a worker on the machine of w1.
+// onHost returns the record of a worker on the host of w1.
 func onHost(id string) platform.Worker {
 	w := testWorker(id)
 	w.Host = "host-of-" + firstIncarnation
 	return w
 }
 
-// listed says that the worker runs its task.
+// listed has the first incarnation report its run.
 func (f *restartFixture) listed() {
 	f.took(f.run)
 	f.pass(tickEvery)
 	f.answer(firstIncarnation, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 10)}})
 }
 
-// answeredBy answers a look at one incarnation as the other would.
+// answeredBy answers a poll of one incarnation as another one would.
 func (f *fixture) answeredBy(asked string, i platform.Incarnation, l platform.PollReply) {
 	l.Incarnation = i
 	f.answer(asked, l)
 }
 
-// notes counts the log lines of a kind.
+// notes counts the log lines with the text.
 func (f *fixture) notes(what string) int {
 	n := 0
 	for _, a := range f.out {
@@ -72,7 +73,7 @@
 	l := f.starts()
 	require.Len(t, l, 1, "the task starts elsewhere without waiting for a lease")
 	require.EqualValues(t, "w2", l[0].Worker.ID)
-	require.Equal(t, 1, f.notes("worker started again"))
+	require.Equal(t, 1, f.notes("worker restarted"))
 }
 
 func TestRestartSeenInAnswerEndsEarlierRunsAtOnce(t *testing.T) {
@@ -82,10 +83,10 @@
 	l := f.starts()
 	require.Len(t, l, 1)
 	require.EqualValues(t, "w2", l[0].Worker.ID)
-	require.Contains(t, f.looks, platform.WorkerID(secondIncarnation), "it is asked by itself, and told the fence")
+	require.Contains(t, f.looks, platform.WorkerID(secondIncarnation), "it is polled on its own, and told the fence")
 }
 
-// An end that the worker numbers as one of before is another end.
+// An end of the later incarnation is new even if an end of the earlier one had the same number.
 func TestEndNumbersRestartWithIncarnation(t *testing.T) {
 	f := newFixture(t)
 	f.join(firstIncarnation)
@@ -98,15 +99,15 @@
 	require.Len(t, next, 1)
 	f.step(StartResult{Worker: firstIncarnation, Run: next[0].Order.Run, Task: next[0].Order.Task, Err: platform.ErrUnknown})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	require.Zero(t, f.looks[secondIncarnation].Order.LastSeen, "it has told of no end yet")
+	require.Zero(t, f.looks[secondIncarnation].Order.LastSeen, "it has reported no end yet")
 	f.pass(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, next[0], platform.EndDone)}})
 	f.pass(200 * time.Millisecond)
 	require.Equal(t, platform.StateSucceeded, f.state())
 }
 
-// The number of the last end is not told to a worker that may have started again unheard:
-// it would forget ends that nobody has read.
+// A worker that may have restarted unnoticed is not told the number of the last end, as it would
+// forget ends that nobody has read.
 func TestSilentWorkerGetsNoAck(t *testing.T) {
 	f := newFixture(t)
 	f.join(firstIncarnation)
@@ -162,13 +163,13 @@
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
 	f.step(WorkerListed{Worker: onHost(firstIncarnation)})
 	require.NotContains(t, f.core.workers, platform.WorkerID(firstIncarnation))
-	require.Equal(t, 1, f.notes("worker's record left aside"))
+	require.Equal(t, 1, f.notes("worker record ignored"))
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	f.pass(200 * time.Millisecond)
-	require.NotEmpty(t, f.starts(), "its own record opens it to starts")
+	require.NotEmpty(t, f.starts(), "it accepts starts once its own record is there")
 }
 
-// What a worker says of its start and is not understood speaks for no other incarnation.
+// An invalid start time does not prove that another incarnation is running.
 func TestInvalidStartTimeLosesNoRun(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.listed()
@@ -180,11 +181,11 @@
 		f.answer(firstIncarnation, platform.PollReply{Origin: platform.Origin{Invalid: "start -1 is no time"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
 	}
 	require.Empty(t, f.starts())
-	require.Equal(t, 2, f.notes("worker's start not understood"), "once by its record, once by its answers")
+	require.Equal(t, 2, f.notes("worker start time invalid"), "once by its record, once by its answers")
 	require.Len(t, f.core.workers, 2)
 }
 
-// A list of machines names workers, not their incarnations.
+// The machine list names workers, not their incarnations.
 func TestListOfMachinesSaysNothingOfIncarnations(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.listed()
@@ -194,7 +195,7 @@
 	require.Empty(t, f.starts())
 }
 
-// A crash is counted once, whoever notices it first.
+// A crash is counted once, however many signs of it there are.
 func TestRestartIsOneCrash(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.step(StartResult{Worker: firstIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task, Err: platform.ErrUnknown})
@@ -204,7 +205,7 @@
 	last := "w1@1700000000600"
 	f.pass(settleAfter + 2*tickEvery)
 	f.answeredBy(last, 1700000000600, platform.PollReply{})
-	require.Zero(t, f.notes("crash counted"), "it may be carried out yet")
+	require.Zero(t, f.notes("crash counted"), "it may still be carried out")
 	f.pass(settleAfter + 2*tickEvery)
 	f.step(StopResult{Worker: platform.WorkerID(last), Run: f.run.Order.Run, Task: f.run.Order.Task})
 	f.pass(tickEvery)
@@ -212,7 +213,7 @@
 	require.Equal(t, 1, f.notes("crash counted"), "the start may have been carried out by one of them")
 }
 
-// A start that the next incarnation runs had not begun at the one that crashed.
+// A start that the next incarnation carries out had not been carried out by the crashed one.
 func TestStartThatNextIncarnationRunsCountsNoCrash(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.took(f.run)
@@ -235,7 +236,7 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// The clock of the next incarnation begins anew, and so do the leases on it.
+// The clock of the next incarnation restarts, and so do the leases on it.
 func TestLeaseUsesClockOfNextIncarnation(t *testing.T) {
 	f := newRestartFixture(t)
 	f.listed()
@@ -252,8 +253,8 @@
 	require.Less(t, int64(l[0].Order.Until), 20+200+leaseFor.Milliseconds()+100)
 }
 
-// An earlier owner does not know of the next incarnation, which knows no fence yet: its
-// start may be carried out there. The next owner asks before it starts what both know.
+// An earlier owner's start may be carried out by the next incarnation, which knows no fence
+// yet. The next owner polls that one before it starts tasks that the earlier owner knew of.
 func TestNextOwnerPollsNextIncarnationFirst(t *testing.T) {
 	f := newRestartFixture(t)
 	f.listed()
@@ -272,8 +273,8 @@
 	require.Len(t, h.starts(), 1)
 }
 
-// A worker that starts again knows no fence: an owner that has stood still, and may have
-// been replaced meanwhile, asks the store before it starts anything.
+// A restarted worker knows no fence. An owner that was paused, and may have been replaced
+// meanwhile, renews its lease before it starts anything.
 func TestPausedOwnerStartsNothingBeforeLeaseRenewal(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -284,7 +285,7 @@
 	require.Len(t, f.starts(), 1)
 }
 
-// The machine of a worker has had its order: a worker of the same name may be another.
+// After an order to a machine, a worker of the same name there may be another incarnation.
 func TestWorkerIsPolledAgainAfterMachineOrder(t *testing.T) {
 	f := newFixture(t)
 	f.join(firstIncarnation)
@@ -303,8 +304,8 @@
 	require.NotContains(t, f.core.workers, platform.WorkerID(firstIncarnation))
 }
 
-// A record may tell of an incarnation while an answer told of another: which is the later
-// is not known then, and both are asked. The record's end concerns both.
+// If a record shows one incarnation and an answer another, it is unknown which is the later
+// one, so both are polled. The removal of the record concerns both.
 func TestRemovedRecordUnlistsEachIncarnation(t *testing.T) {
 	f := newRestartFixture(t)
 	f.listed()
@@ -317,11 +318,11 @@
 		require.False(t, w.listed, id)
 	}
 	f.answeredBy(third, 1700000000700, platform.PollReply{})
-	require.NotContains(t, f.core.workers, platform.WorkerID(secondIncarnation), "what answers last is the later one")
+	require.NotContains(t, f.core.workers, platform.WorkerID(secondIncarnation), "the one that answers last is the later one")
 	require.EqualValues(t, third, f.core.current["w1"].ID)
 }
 
-// Reading what to take over is no pause: the owner has looked once more whether it owns.
+// The time for reading what to take over is no pause: the owner checks its ownership afterwards.
 func TestLongTakeoverDelaysNoStart(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c := NewCore(100, "entry-1", Size{}, now)
--- a/job/lapse.go
+++ b/job/lapse.go
@@ -17,8 +17,8 @@
 // The platform documents about two seconds.
 const relistedWithin = 2500 * time.Millisecond
 
-// ownerAuthority is how long an owner goes on giving orders after the store's last answer. Typical
-// outages of the store take five seconds.
+// ownerAuthority is how long an owner goes on giving orders after the store's last answer.
+// Typical outages of the store take five seconds.
 const ownerAuthority = 6 * time.Second
 
 // apply adds a worker, or updates it from its record.
@@ -95,9 +95,9 @@
 	c.reconcileWorker(w)
 }
 
-// removeOthersOnHost removes the other workers known on the worker's host. A host runs one worker
-// at a time, and this one has just answered; records are added and removed late, so they do
-// not show which worker is the later one.
+// removeOthersOnHost removes the other workers known on the worker's host. A host runs one
+// worker at a time, and this one has just answered; records are added and removed late, so
+// they do not show which worker is the later one.
 func (c *Core) removeOthersOnHost(w *worker) {
 	if o := c.current[w.ID.Name()]; o != w && o != nil {
 		c.replaceWorker(o, w, "the later incarnation has answered")
@@ -148,9 +148,9 @@
 	c.replan(w.Service)
 }
 
-// shuttingDown reports whether the worker is about to end: its record says that it drains, or the
-// record has been gone for long although the store answered all the while. Some workers never
-// announce their end, and serve on for as long.
+// shuttingDown reports whether the worker is about to end: its record says that it drains, or
+// the record has been gone for long although the store answered all the while. Some workers
+// never announce their end, and serve on for as long.
 func (c *Core) shuttingDown(w *worker) bool {
 	if w.listed {
 		return w.Draining
@@ -227,8 +227,8 @@
 	c.endWorker(w, why, nil)
 }
 
-// endWorker removes a worker that has ended. If it has restarted, the runs whose starts may still
-// be carried out are reassigned to the next incarnation.
+// endWorker removes a worker that has ended. If it has restarted, the runs whose starts may
+// still be carried out are reassigned to the next incarnation.
 func (c *Core) endWorker(w *worker, why string, next *worker) {
 	if c.workers[w.ID] != w {
 		return
--- a/job/lasting.go
+++ b/job/lasting.go
@@ -17,7 +17,8 @@
 	shortRun = 2 * time.Second
 )
 
-// lastingEnded marks a lasting task as unavailable after the end of a run, and has it placed again.
+// lastingEnded marks a lasting task as unavailable after the end of a run, and has it placed
+// again.
 func (c *Core) lastingEnded(t *task, r *run, how platform.End) {
 	t.ready = false
 	if t.unavailableSince.IsZero() {
--- a/job/lasting_log_test.go
+++ b/job/lasting_log_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// noted returns the notes of a kind since the fixture began.
+// noted returns the log lines with the text since the fixture began.
 func (f *fixture) noted(what string) []LogLine {
 	var l []LogLine
 	for _, a := range f.out {
@@ -21,7 +21,7 @@
 	return l
 }
 
-// input returns a figure of a note.
+// input returns the value of a field of the log line.
 func (n LogLine) input(name string) any {
 	for i := 0; i+1 < len(n.Fields); i += 2 {
 		if n.Fields[i] == name {
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// threeReady has three lasting tasks of a step, of which one may be away, at work on a
-// worker each.
+// threeReady starts three lasting tasks of a step, of which one may be unavailable, and has
+// each ready on a worker of its own.
 func threeReady(f *fixture) map[platform.WorkerID]StartRun {
 	f.join("w1", "w2", "w3")
 	s := oneTask()
@@ -47,7 +47,7 @@
 	return at
 }
 
-// passReady lets time pass in which all runs are at work.
+// passReady lets time pass while all runs are reported as ready.
 func (f *fixture) passReady(at map[platform.WorkerID]StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(100 * time.Millisecond)
@@ -55,7 +55,7 @@
 	}
 }
 
-// pollAll answers the looks under way: the runs are at work.
+// pollAll answers the polls in flight: the runs are ready.
 func (f *fixture) pollAll(at map[platform.WorkerID]StartRun) {
 	for id, r := range at {
 		if _, ok := f.looks[id]; ok {
@@ -64,7 +64,7 @@
 	}
 }
 
-// drain has the worker say that it leaves.
+// drain has the worker's record say that it is draining.
 func (f *fixture) drain(id platform.WorkerID) {
 	w := testWorker(string(id))
 	w.Draining = true
@@ -86,18 +86,18 @@
 	f.pass(100 * time.Millisecond)
 	f.pollAll(at)
 	f.pass(100 * time.Millisecond)
-	held := f.noted("stop deferred")
-	require.Len(t, held, 1, "said once")
-	require.Equal(t, []int{at["w1"].index()}, held[0].input("away_tasks"))
+	deferred := f.noted("stop deferred")
+	require.Len(t, deferred, 1, "logged once")
+	require.Equal(t, []int{at["w1"].index()}, deferred[0].input("away_tasks"))
 	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknown})
 	require.Len(t, f.noted("stop not answered"), 1)
 	f.passReady(at, time.Second)
-	again := f.noted("stop sent again")
-	require.NotEmpty(t, again)
-	require.Equal(t, 1, again[0].input("sent"))
+	resent := f.noted("stop sent again")
+	require.NotEmpty(t, resent)
+	require.Equal(t, 1, resent[0].input("sent"))
 }
 
-// index returns the number of the run's task in its step.
+// index returns the index of the run's task in its step.
 func (s StartRun) index() int {
 	k, _ := parseTaskKey(s.Order.Task)
 	return k.index
--- a/job/looks.go
+++ b/job/looks.go
@@ -70,9 +70,9 @@
 	c.emit(PollWorker{Worker: w.Worker, Order: o})
 }
 
-// ackableEnd returns the number of the last end that the worker may forget, or 0 while it may have
-// restarted unnoticed: the number would make the next incarnation forget ends of its own that
-// nobody has read.
+// ackableEnd returns the number of the last end that the worker may forget, or 0 while it may
+// have restarted unnoticed: the number would make the next incarnation forget ends of its own
+// that nobody has read.
 func (w *worker) ackableEnd() int64 {
 	if w.missedPolls > 0 || w.hasUnconfirmedStart() {
 		return 0
@@ -225,8 +225,8 @@
 	c.markStarted(t.of.of.job)
 }
 
-// adopt takes over a run that an earlier owner started. A run that is no longer wanted becomes an
-// orphan, and adopt returns nil.
+// adopt takes over a run that an earlier owner started. A run that is no longer wanted becomes
+// an orphan, and adopt returns nil.
 func (c *Core) adopt(w *worker, k taskKey, v platform.RunningRow) *run {
 	t := c.task(k)
 	wanted := t != nil && !t.done && (len(t.runs) == 0 || t.of.Copies)
--- a/job/loss_test.go
+++ b/job/loss_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// lossOf returns how the first run that was lost was lost, as the log says it.
+// lossOf returns the logged cause of the first lost run.
 func (f *fixture) lossOf() string {
 	for _, a := range f.out {
 		if n, ok := a.(LogLine); ok && n.What == "run gone" {
@@ -32,7 +32,7 @@
 			f.step(WorkerListed{Worker: w})
 			f.fail("w1", platform.ErrOtherIncarnation)
 		}, lossLeft},
-		"record gone before it fell silent": {func(f *fixture) {
+		"record removed before it fell silent": {func(f *fixture) {
 			f.step(WorkerUnlisted{Name: "w1"})
 			f.pass(tickEvery)
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: f.core.lastRun}}})
--- a/job/pace.go
+++ b/job/pace.go
@@ -8,8 +8,8 @@
 
 // Limits of the control loop that keeps latency-sensitive tasks below their targets.
 const (
-	// pacedPollWait bounds how long a worker holds a poll while best-effort and latency-sensitive
-	// tasks share it. Reported tails cover half a second.
+	// pacedPollWait bounds how long a worker holds a poll while best-effort and
+	// latency-sensitive tasks share it. Reported tails cover half a second.
 	pacedPollWait = 500 * time.Millisecond
 	// paceSettle is how long a change of pace takes to show: a tenth of a second until it is in
 	// effect and half a second until the reported tails are new.
@@ -22,7 +22,8 @@
 	// each run starts.
 	paceStep = 25
 	fullPace = 100
-	// sharedPenalty keeps best-effort and latency-sensitive tasks on separate workers if possible.
+	// sharedPenalty keeps best-effort and latency-sensitive tasks on separate workers if
+	// possible.
 	sharedPenalty = 400
 )
 
@@ -36,8 +37,8 @@
 	paceRetryAt, latePaceUntil time.Time
 }
 
-// paceUnanswered has the pace ordered again after an order was not answered: at once, and once more
-// when the first order can no longer be carried out late and undo the second.
+// paceUnanswered has the pace ordered again after an order was not answered: at once, and once
+// more when the first order can no longer be carried out late and undo the second.
 func (p *pacing) paceUnanswered(now time.Time) {
 	p.paceRetryAt = now
 	p.latePaceUntil = now.Add(maxOrderDelay)
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -10,29 +10,29 @@
 	"amberway/platform"
 )
 
-// tailTarget is the target of the serving tasks here.
+// tailTarget is the target of the latency-sensitive task.
 const tailTarget = 100 * time.Millisecond
 
-// shared is a worker on which a task that fills runs beside one that serves.
+// shared is an owner with a worker on which a best-effort task runs beside a latency-sensitive
+// one.
 type shared struct {
 	*fixture
 	fills, serves StartRun
-	// gone says that the serving task runs there no longer.
+	// gone says that the latency-sensitive task no longer runs there.
 	gone bool
-	// answers counts the looks: the filling task gets on a little in each.
+	// answers counts the polls. The best-effort task makes a little progress in each.
 	answers int
 }
 
-// newShared returns an owner with such a worker, in whose answers the serving task is over
-// its target until rested is called.
+// newShared returns an owner with such a worker, both tasks of which have started.
 func newShared(t *testing.T) *shared {
 	f := newFixture(t)
 	f.join("w1")
-	fills, serves := oneTask(), oneTask()
-	fills.BestEffort = true
-	serves.Lasting, serves.TailTarget = true, tailTarget
-	f.submit(idA, "quick", fills)
-	f.submit(idB, "quick", serves)
+	bestEffort, sensitive := oneTask(), oneTask()
+	bestEffort.BestEffort = true
+	sensitive.Lasting, sensitive.TailTarget = true, tailTarget
+	f.submit(idA, "quick", bestEffort)
+	f.submit(idB, "quick", sensitive)
 	l := f.starts()
 	require.Len(t, l, 2)
 	s := &shared{fixture: f, fills: l[0], serves: l[1]}
@@ -45,12 +45,11 @@
 	return s
 }
 
-// look lets time pass, with looks in which the serving task's tail is such a share of its
-// target.
+// look lets time pass. Polls are answered with a tail of the given fraction of the target.
 func (s *shared) look(d time.Duration, tail float64) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.pass(tickEvery)
-		if _, asked := s.looks["w1"]; !asked {
+		if _, polled := s.looks["w1"]; !polled {
 			continue
 		}
 		s.answers++
@@ -62,7 +61,7 @@
 	}
 }
 
-// paces takes the paces ordered since the last call.
+// paces returns the paces ordered since the last call.
 func (f *fixture) paces() []int {
 	var l []int
 	var rest []Action
@@ -77,13 +76,13 @@
 	return l
 }
 
-// unanswered tells the owner that its last order to pace the filling task was not answered.
+// unanswered has the last order to pace the best-effort task fail without an answer.
 func (s *shared) unanswered() {
 	s.step(PaceResult{Worker: "w1", Task: s.fills.Order.Task, Run: s.fills.Order.Run, Err: common.ErrUnknown})
 }
 
-// A filling task went on at three quarters of its pace, or at none, until it ended: the
-// order that gave it its full pace back was lost, and only lower paces were ordered again.
+// The order that restored the full pace was lost, and only lower paces were ordered again, so
+// that a best-effort task went on at three quarters of its pace, or paused, until it ended.
 func TestFullPaceIsOrderedAgainWhereItsAnswerWasLost(t *testing.T) {
 	s := newShared(t)
 	s.look(time.Second, 2)
@@ -111,8 +110,8 @@
 	require.Empty(t, s.paces())
 }
 
-// A filling task went on at the pace that it had when the task that serves beside it ended
-// or was moved, until it ended itself: paces were ordered only where both run.
+// Paces were set only while both kinds of tasks shared a worker. When the latency-sensitive
+// task ended or was moved, the best-effort task kept its reduced pace until it ended.
 func TestFillingTaskGetsItsFullPaceBackWhereNothingServes(t *testing.T) {
 	s := newShared(t)
 	s.look(time.Second, 2)
@@ -126,8 +125,8 @@
 	require.Empty(t, s.paces())
 }
 
-// A next owner took each run for one at full pace, and never gave it back to one that the
-// owner before had slowed down.
+// The next owner assumed full pace for each adopted run, and never restored it for a run that
+// the previous owner had slowed down.
 func TestNextOwnerOrdersThePaceOfAFillingTaskAnew(t *testing.T) {
 	s := newShared(t)
 	s.look(time.Second, 2)
--- a/job/removed.go
+++ b/job/removed.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// A host that was removed for good answers nothing and starts no other worker. Its row, which would
-// show the end of its worker, is no longer in the machine list. Only that absence tells it from
-// a host that is cut off and goes on working.
+// A host that was removed for good answers nothing and starts no other worker. Its row, which
+// would show the end of its worker, is no longer in the machine list. Only that absence tells
+// it from a host that is cut off and goes on working.
 
-// removedAfterLists is how many machine lists in a row have to lack a host that was removed. A list
-// is read in pages that are no consistent snapshot, so that one may lack a host that exists.
+// removedAfterLists is how many machine lists in a row have to lack a host that was removed. A
+// list is read in pages that are no consistent snapshot, so that one may lack a host that
+// exists.
 const removedAfterLists = 2
 
 // countMissing notes which hosts the list lacks, and removes those that are gone. A list without
@@ -61,8 +62,8 @@
 	}
 }
 
-// loseRemoved removes a worker whose host was removed, with all of its runs. It reports whether it
-// did so.
+// loseRemoved removes a worker whose host was removed, with all of its runs. It reports
+// whether it did so.
 func (c *Core) loseRemoved(w *worker) bool {
 	if w.missedPolls == 0 || w.listed {
 		return false
--- a/job/removed_review_test.go
+++ b/job/removed_review_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// passRefusing lets time pass as live does, but connections to w2 are refused at once. It
-// returns when the first task was started, or zero.
+// passRefusing lets time pass as passListing does, but connections to w2 are refused at once. It
+// returns the time until the first start, or zero if there is none.
 func (f *takeoverFixture) passRefusing(d time.Duration, l ...platform.Machine) time.Duration {
 	began := f.now
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// The second list is asked for soon after the first also where the host refuses
-// connections, so that the first list comes after the look has failed.
+// If the host refuses connections, the first machine list comes after the poll has failed. The
+// second list has to follow soon after the first in that case as well.
 func TestNextOwnerDoesNotWaitForARemovedHostThatRefuses(t *testing.T) {
 	f := newTakeoverFixture(t)
 	took := f.passRefusing(inheritedLease, machineOf("w1", "blue"))
@@ -41,7 +41,7 @@
 	require.Less(t, took, lastingTaskAgainWithin)
 }
 
-// A look may fail while a slow list is under way: the next list follows soon.
+// If a poll fails while a slow machine list is being read, the next list follows soon.
 func TestNextOwnerDoesNotWaitForARemovedHostWhileListsAreSlow(t *testing.T) {
 	const slow = 700 * time.Millisecond
 	f := newTakeoverFixture(t)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Lists from before a worker's last answer say nothing of it.
+// Machine lists requested before a worker's last answer prove nothing about it.
 func TestListsFromBeforeAnAnswerDoNotCount(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
@@ -74,10 +74,10 @@
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.fail("w1", common.ErrUnknown)
 	f.pass(tickEvery)
-	require.NotNil(t, f.core.workers["w1"], "it answered after both lists, and one look has failed since")
+	require.NotNil(t, f.core.workers["w1"], "it answered after both lists, and missed only one poll since")
 }
 
-// Records go with the store's outages and come back up to two seconds later.
+// Records disappear in outages of the store, and are back up to two seconds later.
 func TestRecordLostInStoreOutageIsNotRemoval(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
@@ -93,7 +93,7 @@
 	require.Empty(t, f.starts())
 }
 
-// A list asked for before a life has answered does not end it.
+// A machine list requested before a worker answered does not end that worker.
 func TestListFromBeforeALifeDoesNotEndIt(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -117,10 +117,10 @@
 	f.fail("w2", common.ErrUnknown)
 	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
 	f.pass(tickEvery)
-	require.Empty(t, f.starts(), "w2 lives: it answered after the list was asked for")
+	require.Empty(t, f.starts(), "w2 lives: it answered after the list was requested")
 }
 
-// The first list of an owner takes no machine out of a wave.
+// The first machine list of an owner takes no machine out of a wave.
 func TestFirstListOfAnOwnerTakesNoMachineOutOfAWave(t *testing.T) {
 	f := newFixture(t)
 	f.step(Inherited{
@@ -134,8 +134,8 @@
 	require.False(t, f.core.waves[4].reported)
 }
 
-// A worker takes starts again once an order to its machine is no longer under way,
-// also where the machine was off the list meanwhile.
+// A worker accepts starts again once the order to its machine is over, even if the machine was
+// missing from the list meanwhile.
 func TestWorkerOfAMachineThatIsListedAgainTakesStarts(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
@@ -159,8 +159,8 @@
 	}
 }
 
-// A worker that falls silent while a list is under way has the next one follow soon,
-// also where an order to another machine waits for its outcome.
+// When a worker falls silent while a machine list is being read, the next list follows soon,
+// even if an order to another machine waits for its result.
 func TestListFollowsSilenceSoonBesideAnOrder(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
--- a/job/removed_test.go
+++ b/job/removed_test.go
@@ -11,9 +11,9 @@
 	"amberway/platform"
 )
 
-// takeoverFixture is an owner that has taken over a lasting job, whose task ran on w2 under the
-// owner before. Worker w1 has answered, has room, and is kept in its pool by a task of
-// a new job; w2 has no record in the store any more and does not answer.
+// takeoverFixture is an owner that has taken over a lasting job whose task ran on w2 under the
+// previous owner. Worker w1 has answered, has room, and stays in its pool for a task of a new
+// job. w2 no longer has a record in the store, and does not answer.
 type takeoverFixture struct {
 	*fixture
 	keeps StartRun
@@ -40,8 +40,8 @@
 	return h
 }
 
-// passListing lets time pass while lists of machines name those given, looks at w2 hang and
-// w1 answers. It returns the starts of that time.
+// passListing lets time pass. Machine lists contain the given machines, polls of w2 time out,
+// and w1 answers. It returns the starts of that time.
 func (f *takeoverFixture) passListing(d time.Duration, l ...platform.Machine) []StartRun {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
@@ -56,7 +56,7 @@
 	return f.starts()
 }
 
-// timeOutPoll ends a look at a worker that nothing answers, once its time is over.
+// timeOutPoll fails the poll in flight to a worker that does not answer, once it has timed out.
 func (f *takeoverFixture) timeOutPoll(id platform.WorkerID) {
 	w := f.core.workers[id]
 	a, ok := f.looks[id]
@@ -65,9 +65,9 @@
 	}
 }
 
-// lastingTaskAgainWithin is how soon after the change of its owner a lasting task of a
-// removed host is to start: the users count it as lost from six seconds after its last
-// run, of which the owner's lease took up to one and a half.
+// lastingTaskAgainWithin is how soon after a change of owner a lasting task of a removed host
+// has to start. A task counts as lost six seconds after the end of its last run, of which the
+// previous owner's lease takes up to one and a half.
 const lastingTaskAgainWithin = 4 * time.Second
 
 func TestNextOwnerDoesNotWaitForAHostThatWasRemoved(t *testing.T) {
@@ -77,15 +77,16 @@
 	require.EqualValues(t, "w1", l[0].Worker.ID)
 }
 
-// A host that is cut off stands in the list: its worker may run on.
+// A host that is cut off is still in the machine list: its worker may go on.
 func TestNextOwnerWaitsForAHostThatTheListNames(t *testing.T) {
 	f := newTakeoverFixture(t)
-	there := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
-	require.Empty(t, f.passListing(inheritedLease-time.Second, there...))
-	require.Len(t, f.passListing(2*time.Second, there...), 1)
+	machines := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
+	require.Empty(t, f.passListing(inheritedLease-time.Second, machines...))
+	require.Len(t, f.passListing(2*time.Second, machines...), 1)
 }
 
-// The pages of a list are no snapshot: one list that lacks a host says nothing.
+// The pages of a machine list are no consistent snapshot: a single list without a host proves
+// nothing.
 func TestSingleListWithoutHostIsNotRemoval(t *testing.T) {
 	f := newTakeoverFixture(t)
 	f.fail("w2", common.ErrNotSent)
@@ -96,15 +97,15 @@
 	require.Empty(t, f.starts())
 }
 
-// A worker whose record is there has begun of late or is about to go: the list may
-// lag behind it.
+// A worker with a record has either just started, so that the machine list may lag behind, or
+// is about to lose the record.
 func TestWorkerWithARecordIsNotTakenForRemoved(t *testing.T) {
 	f := newTakeoverFixture(t)
 	f.step(WorkerListed{Worker: testWorker("w2")})
 	require.Empty(t, f.passListing(lastingTaskAgainWithin, machineOf("w1", "blue")))
 }
 
-// A host that answers is not removed, whatever the list says.
+// A host that answers was not removed, whatever the machine list says.
 func TestHostThatAnswersIsNotTakenForRemoved(t *testing.T) {
 	f := newTakeoverFixture(t)
 	task := taskKey{id: idA}.String()
@@ -118,7 +119,8 @@
 	require.Empty(t, f.starts())
 }
 
-// The same owner, too, starts what a removed host ran before its lease has lapsed.
+// An owner starts the tasks of a removed host before the lease expires, without a takeover as
+// well.
 func TestLastingTaskOfARemovedHostStartsBeforeItsLeaseHasLapsed(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
@@ -127,7 +129,7 @@
 	f.out = nil
 	f.fail("w1", common.ErrNotSent)
 	for began := f.now; f.now.Sub(began) < relistedWithin; {
-		require.Empty(t, f.starts(), "its record may have gone with the store")
+		require.Empty(t, f.starts(), "its record may have been lost with the store")
 		f.pass(listEvery)
 		f.listMachines(machineOf("w2", "blue"))
 	}
@@ -135,7 +137,7 @@
 	require.Len(t, f.starts(), 1, "well before the four seconds of a lease")
 }
 
-// A wave does not wait for a machine that was removed while its upkeep went on.
+// A wave does not wait for a machine that was removed during its maintenance.
 func TestWaveDoesNotWaitForAMachineThatWasRemoved(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2", "w3")
@@ -157,7 +159,7 @@
 	}
 	f.pass(200 * time.Millisecond)
 	l := f.upkeeps()
-	require.Len(t, l, 2, "the removed machine takes none of the cap")
+	require.Len(t, l, 2, "the removed machine does not count towards the cap")
 	f.step(MachineOrderResult{Machine: l[1].Machine})
 	f.pass(time.Second)
 	f.listMachines(rest...)
@@ -165,9 +167,9 @@
 	require.True(t, f.core.waves[4].reported)
 }
 
-// A wave waited without end for a machine that the list shows as up, whose worker has
-// lapsed, been given up, and has no record: nothing was known of what runs there. Nothing
-// does once the longest lease that any owner can have given has ended.
+// A wave waited forever for a machine that the list shows as up, whose worker was removed
+// after its lease had expired and has no record, as nothing was known of what ran there.
+// Nothing does once the longest lease that any owner can have given has ended.
 func TestWaveDoesNotWaitForAMachineWhoseWorkerIsNotHeardOf(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
--- a/job/silence_test.go
+++ b/job/silence_test.go
@@ -34,7 +34,7 @@
 	return silentStore{storeFixture{Store: s, kv: platform.NewKV(p.Address(), &platform.Calls{})}, p}
 }
 
-// keepIdle leaves n idle connections to the store.
+// keepIdle leaves n idle connections to the store open.
 func (s silentStore) keepIdle(t *testing.T, n int) {
 	var done sync.WaitGroup
 	for range n {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Questions to the owner are answered in their time, and what is handed on for a
-// caller is lost once at most.
+// When all kept connections to a peer have gone silent, requests that may be repeated are
+// answered in time, and others fail once at most.
 func TestSilentPeerConnectionsCostOneTimeout(t *testing.T) {
 	const conns = peerConns
 	var together sync.WaitGroup
@@ -113,7 +113,7 @@
 	}))
 	t.Cleanup(h.CloseClientConnections)
 	at := netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))
-	ways := []struct {
+	calls := []struct {
 		name     string
 		repeated bool
 		call     func(context.Context, *peers, Owner) error
@@ -135,8 +135,8 @@
 			return err
 		}},
 	}
-	for _, w := range ways {
-		t.Run(w.name, func(t *testing.T) {
+	for _, c := range calls {
+		t.Run(c.name, func(t *testing.T) {
 			v, err := proxy.New(at)
 			require.NoError(t, err)
 			t.Cleanup(v.Close)
@@ -148,8 +148,8 @@
 			}
 			done.Wait()
 			require.Equal(t, conns, v.Silence(proxy.Both))
-			err = w.call(t.Context(), p, o)
-			if w.repeated {
+			err = c.call(t.Context(), p, o)
+			if c.repeated {
 				require.NoError(t, err)
 			} else {
 				require.ErrorIs(t, err, platform.ErrUnknown)
@@ -157,15 +157,15 @@
 			ctx, cancel := context.WithTimeout(t.Context(), peerTimeout)
 			defer cancel()
 			for range conns {
-				require.NoError(t, w.call(ctx, p, o))
+				require.NoError(t, c.call(ctx, p, o))
 			}
 		})
 	}
 }
 
-// Whatever the platform allows: a watch on a silent connection and the one after it
-// leave time for taking the configuration in, a slow store has time to answer each, and
-// a host does not call itself not ready for it.
+// For any bound on the configuration's delay: a watch on a silent connection and the next one
+// leave time for applying the configuration, a slow store has time to answer each, and the
+// entry host does not become unready for it.
 func TestWatchOfTheConfigurationFollowsFromItsBound(t *testing.T) {
 	const slow = 250 * time.Millisecond
 	for _, c := range []time.Duration{1250 * time.Millisecond, 2 * time.Second, 4 * time.Second, time.Minute} {
--- a/job/slow.go
+++ b/job/slow.go
@@ -16,8 +16,8 @@
 	// slowRunFactor is how many times longer than others a run has to take for its worker to be
 	// considered slow. One task in a thousand takes as long by chance.
 	slowRunFactor = 2.5
-	// slowRunFactorAlone is the same against the expected run time, if there are no other runs to
-	// compare with. No estimate is off by as much.
+	// slowRunFactorAlone is the same against the expected run time, if there are no other runs
+	// to compare with. No estimate is off by as much.
 	slowRunFactorAlone = 8
 	// minSlowSamples is the minimum number of other runs to compare with.
 	minSlowSamples = 2
@@ -39,8 +39,8 @@
 	return c.workerSlow(r, total) && c.roomElsewhere(r.at, t)
 }
 
-// projectedTime returns the total run time extrapolated from the last report of the run's worker. It
-// returns false if there is no progress to extrapolate from.
+// projectedTime returns the total run time extrapolated from the last report of the run's
+// worker. It returns false if there is no progress to extrapolate from.
 func (r *run) projectedTime() (time.Duration, bool) {
 	done := r.percent - r.adoptedPercent
 	if r.phase != running || done <= 0 {
@@ -49,9 +49,9 @@
 	return r.reportedAt.Sub(r.sentAt) * time.Duration(100-r.adoptedPercent) / time.Duration(done), true
 }
 
-// workerSlow reports whether the run takes long because its worker is slow: tasks of its step take
-// much less elsewhere or, if there are none, other jobs on the worker are slow as well. Without
-// either comparison the run has to be slower than any error of its estimate explains.
+// workerSlow reports whether the run takes long because its worker is slow: tasks of its step
+// take much less elsewhere or, if there are none, other jobs on the worker are slow as well.
+// Without either comparison the run has to be slower than any error of its estimate explains.
 func (c *Core) workerSlow(r *run, total time.Duration) bool {
 	if l := r.task.of.timesElsewhere(r.at); len(l) >= minSlowSamples {
 		return float64(total) > slowRunFactor*float64(median(l))
@@ -78,8 +78,8 @@
 	return l
 }
 
-// otherJobSlowdowns returns the run times of other jobs on the run's worker, in multiples of what
-// was expected.
+// otherJobSlowdowns returns the run times of other jobs on the run's worker, in multiples of
+// what was expected.
 func (c *Core) otherJobSlowdowns(r *run) []float64 {
 	var l []float64
 	for _, o := range r.at.runs {
--- a/job/slow_test.go
+++ b/job/slow_test.go
@@ -9,8 +9,8 @@
 	"amberway/platform"
 )
 
-// spread starts a job of six tasks over three workers, two on each, and returns
-// their starts by worker.
+// spread starts a job of six tasks on three of four workers, two on each, and returns the
+// starts by worker.
 func spread(f *fixture) map[platform.WorkerID][]StartRun {
 	s := oneTask()
 	s.Count = 6
@@ -26,7 +26,7 @@
 	return l
 }
 
-// reportPercent answers the look at a worker: all its runs are at the percent.
+// reportPercent answers a poll of the worker: all its runs are at the percentage.
 func (f *fixture) reportPercent(w platform.WorkerID, l []StartRun, percent int) {
 	var rows []platform.RunningRow
 	for _, r := range l {
@@ -35,8 +35,8 @@
 	f.answer(string(w), platform.PollReply{Running: rows})
 }
 
-// A task that takes long everywhere is left where it is: to begin it anew would
-// only lose what is done.
+// A task that takes long everywhere stays where it is, as a restart would only lose its
+// progress.
 func TestLongTaskIsNotTakenForASlowWorker(t *testing.T) {
 	f := newFixture(t)
 	l := spread(f)
@@ -47,11 +47,11 @@
 		}
 		f.pass(100 * time.Millisecond)
 	}
-	require.Empty(t, f.stops(), "all take six times as long as they are expected to")
+	require.Empty(t, f.stops(), "all take six times as long as expected")
 }
 
-// Tasks on a slow worker are begun anew elsewhere once others of their step have
-// gone on much faster.
+// Tasks on a slow worker are started again elsewhere once others of their step have proved much
+// faster.
 func TestSlowWorkerIsDetectedByTasksOfSameStep(t *testing.T) {
 	f := newFixture(t)
 	l := spread(f)
@@ -70,7 +70,7 @@
 	require.Equal(t, slow, s[0].Worker.ID)
 }
 
-// Where a step has no tasks elsewhere, other jobs on the worker tell.
+// Without tasks of the same step on other workers, other jobs on the worker decide.
 func TestSlowWorkerIsDetectedByOtherJobs(t *testing.T) {
 	for _, v := range []struct {
 		others int
--- a/job/state.go
+++ b/job/state.go
@@ -29,7 +29,8 @@
 	instances   map[int]*instance
 	// orphanUsage is what the job's orphaned runs take.
 	orphanUsage platform.Resources
-	// leftover is what runs of earlier owners may still take, as far as their ends were not seen.
+	// leftover is what runs of earlier owners may still take, as far as their ends were not
+	// seen.
 	leftover *LeftoverRuns
 	// oldestInstance is the number of the first instance that is not completely done,
 	// nextInstance that of the first that is not yet due.
@@ -81,7 +82,8 @@
 	snapshot string
 	// avoid is the worker on which the last run failed, was refused, stalled or was slow.
 	avoid platform.WorkerID
-	// notBefore delays the next start after a run ended early, crashed its worker or was refused.
+	// notBefore delays the next start after a run ended early, crashed its worker or was
+	// refused.
 	notBefore time.Time
 	// unavailableSince is when a lasting task stopped being ready. It is zero while it is ready.
 	unavailableSince time.Time
--- a/job/strays.go
+++ b/job/strays.go
@@ -2,7 +2,8 @@
 
 import "amberway/platform"
 
-// rawRunID identifies a run by the task name that its worker reports, which may not be a valid key.
+// rawRunID identifies a run by the task name that its worker reports, which may not be a valid
+// key.
 type rawRunID struct {
 	task   string
 	number int64
--- a/job/suspension_test.go
+++ b/job/suspension_test.go
@@ -14,14 +14,14 @@
 	"amberway/platform"
 )
 
-// A host may be suspended for seconds, and the steady clock stands still meanwhile: the
-// owner on it finds its lease as fresh as before and goes on giving orders, while another
-// has taken over, given up workers that it does not reach, and started their tasks anew.
-// None may leave after the host has woken up.
+// While a host is suspended for seconds its monotonic clock stands still, so that an owner on
+// it finds its lease as fresh as before. Meanwhile another owner may have taken over, given up
+// workers that it cannot reach, and started their tasks again. The first owner must send no
+// order after the host has resumed.
 func TestOwnerGivesNoOrderAfterItsHostWasSuspended(t *testing.T) {
-	asked := make(chan string, 10)
+	paths := make(chan string, 10)
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.Path
+		paths <- r.URL.Path
 		_, _ = w.Write([]byte(`{"clock_ms":1}`))
 	}))
 	t.Cleanup(h.Close)
@@ -37,21 +37,21 @@
 	worker.Address = netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))
 	start := StartRun{Worker: worker, Order: platform.StartOrder{Task: idA + ".0.0.0", Run: 1}}
 	require.True(t, o.performAll(ctx, []Action{start}))
-	require.Equal(t, "/run-start", <-asked)
+	require.Equal(t, "/run-start", <-paths)
 
 	slept = 4 * time.Second
-	require.Greater(t, o.sinceRenewal(), slept, "the lease is as old as the world says")
+	require.Greater(t, o.sinceRenewal(), slept, "the age of the lease includes the suspension")
 	require.False(t, o.performAll(ctx, []Action{start}))
 	require.Equal(t, whySuspended, o.resignReason)
 	require.Error(t, ctx.Err())
 	select {
-	case <-asked:
+	case <-paths:
 		t.Fatal("an order was sent")
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-// An owner that claimed after its host had woken up is as good as any.
+// A suspension before the claim does not affect the owner.
 func TestSuspensionBeforeAClaimDoesNotCount(t *testing.T) {
 	s := newStoreFixture(t)
 	slept := func() time.Duration { return time.Minute }
--- a/job/worker.go
+++ b/job/worker.go
@@ -89,11 +89,11 @@
 	// of the last one before it.
 	abandoned map[rawRunID]bool
 	barrier   int64
-	// tainted reports whether there is a barrier. The worker gets no more starts, and its machine
-	// is recycled.
+	// tainted reports whether there is a barrier. The worker gets no more starts, and its
+	// machine is recycled.
 	tainted bool
-	// polling reports whether a poll is in flight, pollWaits whether the worker may hold it until
-	// a run ends.
+	// polling reports whether a poll is in flight, pollWaits whether the worker may hold it
+	// until a run ends.
 	polling, pollWaits bool
 
 	nextPollAt time.Time
--- a/job/world_crash_test.go
+++ b/job/world_crash_test.go
@@ -10,20 +10,21 @@
 	"amberway/platform"
 )
 
-// worldCrashes are the books of workers that crash, by themselves or under a task.
+// worldCrashes records the crashes of workers, whether tasks cause them or not.
 type worldCrashes struct {
-	// crashers are jobs of which the first task crashes each worker that starts it.
+	// crashers are jobs whose first task crashes each worker that starts it.
 	crashers map[ID]bool
-	// crashesUnder counts the crashes of workers on which a task was, startsAfter the starts of a
-	// task after so many that the users expect it to be given up.
+	// crashesUnder counts the crashes of workers that had a task, startsAfter the starts of a
+	// task after crashesBorne of them.
 	crashesUnder, startsAfter map[string]int
-	// ordered are the workers to which a start of a task was sent, and crashed since; an
-	// owner that gets no answer cannot know whether it was carried out.
+	// ordered holds, for each task, the workers to which a start of it was sent.
+	// unconfirmedCrashes counts those that crashed: an owner without an answer cannot know
+	// whether the start was carried out.
 	ordered map[string]map[platform.WorkerID]bool
-	// roomOrdered is the room that a worker had when a start there was ordered.
+	// roomOrdered is the room that a worker had when a start on it was ordered.
 	roomOrdered        map[rawRunID]int64
 	unconfirmedCrashes map[string]int
-	// tenures is the number of owners so far, tenuresAt what it was at a task's first start.
+	// tenures is the number of owners so far, tenuresAt its value at a task's first start.
 	tenures   int
 	tenuresAt map[string]int
 }
@@ -35,32 +36,32 @@
 	}
 }
 
-// What the users bear of a task that crashes its workers, and from how many crashes on it
-// may be given up.
+// Limits for a task that crashes its workers. It may fail its job from crashesToGiveUp crashes
+// on. After crashesBorne crashes it may start startsAfterBorne more times.
 const (
 	crashesToGiveUp  = 2
 	crashesBorne     = 3
 	startsAfterBorne = 2
 )
 
-// crashedLate is how long a worker lives on after a crashing task has started there.
+// crashedLate is the time from the start of a crashing task to the crash of its worker.
 const crashedLate = 10 * time.Millisecond
 
-// noteStart checks that a task which crashes its workers is not started too often. An
-// owner that ends before it has written what it has counted costs one more.
+// noteStart checks that a task which crashes its workers is not started too often. Each owner
+// that ends before it has stored its counts may cost one more start.
 func (w *world) noteStart(v *worldWorker, k taskKey) {
 	name := k.String()
 	if !w.crashers[k.id] || k.step > 0 || k.index > 0 {
 		return
 	}
-	if _, begun := w.tenuresAt[name]; !begun {
+	if _, started := w.tenuresAt[name]; !started {
 		w.tenuresAt[name] = w.tenures
 	}
 	if w.crashesUnder[name] >= crashesBorne {
 		w.startsAfter[name]++
 	}
 	if lost := w.tenures - w.tenuresAt[name]; w.startsAfter[name] > startsAfterBorne+lost {
-		w.t.Fatalf("%s begins for the %d. time after %d crashes, under %d owners", name, w.startsAfter[name], crashesBorne, lost+1)
+		w.t.Fatalf("%s starts for the %d. time after %d crashes, under %d owners", name, w.startsAfter[name], crashesBorne, lost+1)
 	}
 	w.after(crashedLate, func() {
 		if v.alive {
@@ -69,34 +70,34 @@
 	})
 }
 
-// noteOrder notes that a start was sent to the worker.
+// noteOrder records that a start was sent to the worker.
 func (w *world) noteOrder(a StartRun) {
 	if w.ordered[a.Order.Task] == nil {
 		w.ordered[a.Order.Task] = map[platform.WorkerID]bool{}
 	}
 	w.ordered[a.Order.Task][a.Worker.ID] = true
 	if !w.workers[a.Worker.ID].alive {
-		// It had crashed before the order went out, of which nobody had heard: an owner
-		// knows as little of whether that start was carried out.
+		// It had already crashed, unknown to the owner, which cannot tell whether the start was
+		// carried out either.
 		w.unconfirmedCrashes[a.Order.Task]++
 	}
 	w.roomOrdered[rawRunID{task: a.Order.Task, number: a.Order.Run}] = w.workers[a.Worker.ID].room(w.now)
 }
 
-// crashWorker ends a life; its machine starts another.
+// crashWorker ends a worker. Its machine starts another one.
 func (w *world) crashWorker(v *worldWorker) {
 	w.noteCrash(v)
 	w.addWorker(v.Host)
 	w.after(2*time.Second, func() { w.deleteRecord(v) })
 }
 
-// noteCrash ends a life and all that runs there.
+// noteCrash ends a worker and its runs, and records the crash.
 func (w *world) noteCrash(v *worldWorker) {
 	for t := range v.runs {
 		w.crashesUnder[t]++
 	}
 	for _, e := range v.ended {
-		// Nobody will hear that it had ended before.
+		// Nobody will learn that it had ended before.
 		w.crashesUnder[e.row.Task]++
 	}
 	for t, at := range w.ordered {
@@ -108,9 +109,9 @@
 	v.runs = map[string]*worldRun{}
 }
 
-// checkFailed checks that a job that is shown as failed has a task under which workers
-// have crashed as often as may cost it its job, or that was lost with more workers, of
-// which none has said whether it had begun there. Lasting tasks give no job up.
+// checkFailed checks that a failed job has a task under which enough workers have crashed, or
+// which was lost with crashLimitUnconfirmed workers that did not confirm its start. Lasting
+// tasks never fail their jobs.
 func (w *world) checkFailed(id ID, rec Record) {
 	for i, s := range rec.Steps {
 		if s.Lasting {
@@ -123,12 +124,11 @@
 			}
 		}
 	}
-	w.t.Fatalf("job %s is shown as failed without cause", id)
+	w.t.Fatalf("job %s failed without cause", id)
 }
 
-// TestCrashingTasksFailUnderFaults drives owners through jobs whose tasks crash
-// their workers, beside others that are sound, with workers that crash by themselves,
-// owners that come and go, and messages that are lost.
+// TestCrashingTasksFailUnderFaults runs jobs whose tasks crash their workers beside healthy
+// jobs, while workers crash by themselves, owners are replaced, and messages are lost.
 func TestCrashingTasksFailUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -145,14 +145,14 @@
 			"freeze": func(*rapid.T) { w.replaceOwner(w.freeze) },
 		})
 		w.heal()
-		require.Empty(t, w.store.records, "jobs that never end")
+		require.Empty(t, w.store.records, "no job remains without an end")
 		for id := range w.crashers {
 			require.Equal(t, platform.StateFailed, w.store.progress[id].State)
 		}
 	})
 }
 
-// submitCrasher hands in a job whose first task crashes its workers.
+// submitCrasher submits a job whose first task crashes its workers.
 func (w *world) submitCrasher() {
 	s := platform.Step{Count: rapid.IntRange(1, 3).Draw(w.t, "count"), Resources: platform.Resources{MilliCores: 500}, Estimate: 500 * time.Millisecond}
 	id := w.jobID()
