--- a/job/availability.go
+++ b/job/availability.go
@@ -173,15 +173,15 @@
 	if !s.hasDisruptionBudget() {
 		return nil
 	}
-	away := s.othersUnavailable(r.task, c.now)
+	unavailable := s.othersUnavailable(r.task, c.now)
 	var longest time.Duration
-	for _, x := range away {
+	for _, x := range unavailable {
 		if o := s.tasks[x]; !o.unavailableSince.IsZero() {
 			longest = max(longest, c.now.Sub(o.unavailableSince))
 		}
 	}
 	return []any{
-		"away", len(away), "away_tasks", away, "away_ms", longest.Milliseconds(), "may_miss", s.MaxUnavailable,
+		"away", len(unavailable), "away_tasks", unavailable, "away_ms", longest.Milliseconds(), "may_miss", s.MaxUnavailable,
 		"percent", r.percent, "at_work", r.task.ready, "look_ms", c.now.Sub(r.at.polledAt).Milliseconds(), "age_ms", c.now.Sub(r.sentAt).Milliseconds(),
 	}
 }
--- a/job/worker.go
+++ b/job/worker.go
@@ -162,10 +162,10 @@
 // without an answer the lease is shorter by what a slow clock may have lost, by up to half:
 // the next owner waits for leaseFor on such a clock.
 func (w *worker) lease(now time.Time) platform.WorkerClock {
-	heard := now.Sub(w.clockAt)
-	lost := time.Duration(float64(heard) * maxClockDrift)
+	elapsed := now.Sub(w.clockAt)
+	lost := time.Duration(float64(elapsed) * maxClockDrift)
 	d := leaseFor - min(max(0, lost-leaseDriftAllowance), leaseFor/2)
-	u := w.clock + platform.WorkerClock((heard + d).Milliseconds())
+	u := w.clock + platform.WorkerClock((elapsed + d).Milliseconds())
 	w.leaseUntil = max(w.leaseUntil, u)
 	return u
 }
