--- a/job/pace.go
+++ b/job/pace.go
@@ -32,8 +32,8 @@
 	// pace is the last pace ordered, in percent.
 	pace int
 	// paceRetryAt is when the pace has to be ordered again, or zero. An owner does not know the
-	// pace of a run that it adopts. latePaceUntil is how long an order that was not answered may
-	// still be carried out.
+	// pace of a run that it adopts. latePaceUntil is the time until which an order that was not
+	// answered may still be carried out.
 	paceRetryAt, latePaceUntil time.Time
 }
 
--- a/job/stall.go
+++ b/job/stall.go
@@ -7,8 +7,8 @@
 	// stallAfter is how long a run may make no progress. Workers are polled each second, and
 	// report whole percents of tasks that take one or two seconds.
 	stallAfter = 1500 * time.Millisecond
-	// stallShare is the divisor of the expected run time for which a longer task may make no
-	// progress.
+	// stallShare bounds the same for longer tasks: they may make no progress for their expected
+	// run time divided by it.
 	stallShare = 10
 	// warmUp is how long a lasting task may take to become ready. The slowest take a second and
 	// a half.
--- a/job/state.go
+++ b/job/state.go
@@ -141,8 +141,8 @@
 	stopAttempts int
 	// stopDeferred reports whether a deferral of the stop has been logged.
 	stopDeferred bool
-	// lateStopUntil is how long a withdrawn stop order that was not answered may still be
-	// carried out.
+	// lateStopUntil is the time until which a withdrawn stop order that was not answered may
+	// still be carried out.
 	lateStopUntil time.Time
 	// absent reports whether the last poll did not list the run. For an unconfirmed start, only
 	// a poll sent after its answer was lost counts.
--- a/job/worker.go
+++ b/job/worker.go
@@ -44,8 +44,8 @@
 	// unlistedAt is when the record was removed.
 	listed     bool
 	unlistedAt time.Time
-	// hadRecord reports whether a record of this incarnation was seen. The store orders the
-	// records of one name.
+	// hadRecord reports whether a record of this incarnation was seen. As the store orders the
+	// records of one name, a new one of another incarnation then shows a restart.
 	hadRecord bool
 	// restarted reports whether it has replaced another incarnation. An order to that one may
 	// have given it a longer lease than any order to itself.
@@ -74,7 +74,8 @@
 	clockAt time.Time
 	// leaseUntil is the latest lease end that any order has set.
 	leaseUntil platform.WorkerClock
-	// expiresBy is when all runs must have ended on a worker that has not answered.
+	// expiresBy is when all runs that others started must have ended, on a worker that has not
+	// answered or has replaced another incarnation.
 	expiresBy time.Time
 	used      platform.Resources
 	runs      map[runID]*run
