--- /dev/null
+++ b/job/orphan.go
@@ -0,0 +1,50 @@
+package job
+
+import "amberway/platform"
+
+// rawRunID identifies a run by the task name that its worker reports, which may not be a valid
+// key.
+type rawRunID struct {
+	task   string
+	number int64
+}
+
+// orphan is a run on a worker that no job of the owner wants. It is to be stopped.
+type orphan struct {
+	// stopPending reports whether a stop order is in flight.
+	stopPending bool
+	// job is the run's job, or nil if it is not known; resources are what the run takes of the
+	// job's team's cap.
+	job       *job
+	resources platform.Resources
+}
+
+// addOrphan adds an orphaned run. It counts towards its team's cap.
+func (w *worker) addOrphan(id rawRunID, o *orphan) {
+	w.orphans[id] = o
+	o.charge(1)
+}
+
+// dropOrphan removes an orphaned run that has ended, if there is one with the id.
+func (w *worker) dropOrphan(id rawRunID) {
+	if o := w.orphans[id]; o != nil {
+		delete(w.orphans, id)
+		o.charge(-1)
+	}
+}
+
+// charge charges the run to its team's cap n times; -1 takes it back.
+func (o *orphan) charge(n int64) {
+	if o.job == nil {
+		return
+	}
+	o.job.orphanUsage = o.job.orphanUsage.Plus(o.resources, n)
+	o.job.team.charge(o.resources, n)
+}
+
+// dropOrphans removes all orphaned runs, which have ended.
+func (w *worker) dropOrphans() {
+	for id := range w.orphans {
+		w.dropOrphan(id)
+	}
+}
