--- a/job/flow.go
+++ b/job/flow.go
@@ -5,75 +5,76 @@
 	"time"
 )
 
-// Figures of pacing. An owner speaks to every worker itself, and what it puts on its way
-// beyond what its link or its processor carries waits in sockets, before the renewals of
-// its own lease: at 6 Mbit/s these came too late within seconds, the owner took itself
-// for cut off, and so did each owner after it.
+// Settings of the flow control. An owner calls every worker directly. What it sends beyond
+// the capacity of its link or processor queues in sockets, ahead of the renewals of its own
+// lease: at 6 Mbit/s renewals timed out within seconds, the owner took itself for
+// partitioned and stepped down, and so did each of its successors.
 const (
-	// lateResponse is the middle answer time of a moment that says that too much is on
-	// its way. Workers answer in some milliseconds, in up to 80 where a processor's
-	// share is a quota of each tenth of a second; a renewal has 600 ms on a kept
-	// connection.
+	// lateResponse is the median response time above which too much is in flight. Workers
+	// respond within a few milliseconds, or within 80 where the processor quota is enforced
+	// per 100 ms period; a renewal has 600 ms on a kept-alive connection.
 	lateResponse = 150 * time.Millisecond
-	// adjustEvery is the time between two looks at the answers, fewestAnswers the
-	// fewest that say anything: some workers are slow, or behind a cut.
+	// adjustEvery is the interval at which the rate is adjusted. A decrease needs
+	// minResponses at least, as some workers are slow or unreachable.
 	adjustEvery  = 150 * time.Millisecond
 	minResponses = 5
-	// decreaseFactor is what remains of the rate that was sent when answers came late,
-	// slowMost of the rate that was allowed, where little may have been sent by chance.
-	// It does not fall again for settleFor, in which what waits gets through.
+	// On late responses the rate falls to decreaseFactor of what was sent. Unless the limit
+	// of starts in flight was reached, little may have been sent by chance, so the rate then
+	// keeps decreaseFloor at least. It does not fall again for decreaseCooldown, in which the
+	// backlog drains.
 	decreaseFactor   = 0.8
 	decreaseFloor    = 0.5
 	decreaseCooldown = 300 * time.Millisecond
-	// fastIncrease is what the rate grows by when starts were held back and answers came
-	// in time, speedUpNear once it is near what it last fell from.
+	// The rate grows by fastIncrease when starts were held back and responses came in time,
+	// and by slowIncrease once it is above nearCeiling of the rate that it last fell from.
 	fastIncrease = 1.15
 	slowIncrease = 1.02
 	nearCeiling  = 0.7
-	// congestionEpisode is how soon after a fall the next is of the same cause.
+	// congestionEpisode is the time after a decrease in which another one has the same
+	// cause and does not lower the ceiling.
 	congestionEpisode = time.Second
-	// startRateWeight is how much one judgement counts in the mean of starts a second:
-	// some two seconds make it up.
+	// startRateWeight is the weight of one interval in the moving average of starts per
+	// second, which covers about two seconds.
 	startRateWeight = 0.1
-	// initialShare is the share of the link that an owner begins with, the rest being for
-	// the store, and mostShare the most of it.
+	// initialShare is the share of the link that an owner begins with, which leaves the
+	// rest to calls to the store; maxShare is the highest share.
 	initialShare = 0.75
 	maxShare     = 0.95
-	// ratePerCore is what an owner with a whole core begins with, in bytes a second: 6,000
-	// starts. One with 0.192 of a core sent 370 to 540 a second over some seconds.
+	// ratePerCore is the initial rate of an owner with a whole core in bytes per second,
+	// which is 6,000 starts. With 0.192 of a core an owner sustains 370 to 540 starts per
+	// second.
 	ratePerCore = 5e6
-	// inFlightFor is how long the rate may be ahead of the answers to starts: what has not
-	// been answered tells of a full link before the first late answer does. A sixth of
-	// the workers behind a cut holds half of that for as long as an order takes.
+	// inFlightFor limits the starts in flight to what the rate allows in this time: they
+	// pile up on a full link before the first late response arrives. With a sixth of the
+	// workers unreachable, starts that wait for their timeout take up half of the limit.
 	inFlightFor = 300 * time.Millisecond
-	// minInFlight is the fewest starts that may be on their way.
+	// minInFlight is the lowest limit of starts in flight.
 	minInFlight = 8
-	// minStartDelay is the least time until starts that were held back are tried again.
+	// minStartDelay is the shortest delay before starts that were held back are tried again.
 	minStartDelay = 10 * time.Millisecond
-	// minRate is the least that an owner sends, in bytes a second: the looks at a
-	// hundred workers.
+	// minRate is the lowest rate in bytes per second: enough to poll a hundred workers.
 	minRate = 25e3
-	// burstFor is how long what is not sent is saved up, and debtFor how much of what
-	// could not wait is made up for.
+	// The budget holds what the rate allows in burstFor. Calls that cannot wait overdraw it
+	// by what the rate allows in debtFor at most.
 	burstFor = 50 * time.Millisecond
 	debtFor  = 200 * time.Millisecond
-	// pollShare is the share of the rate that looks may take where it is short, and
-	// longestGap the longest pause that they make for it: a lease of leaseFor has to
-	// outlast two looks.
+	// pollShare is the share of the rate that polls may take while the budget is used up.
+	// The time between polls of a worker grows to maxPollGap for that, as a lease of
+	// leaseFor has to outlast two polls.
 	pollShare  = 0.4
 	maxPollGap = 800 * time.Millisecond
-	// listShare is the share of the link and of the processor that lists of machines may
-	// take while orders are under way, and longestList the longest time between two of
-	// them for that.
+	// listShare is the share of the link and of the processor that reading the list of
+	// machines may take while orders are under way. The time between two reads grows to
+	// maxListGap for that.
 	listShare = 0.05
-	// listCPUPerMachine is the processor time that a list takes for each machine: 1.1 us to read it
-	// and as much again for the call, and what comparing it with what is known takes.
+	// listCPUPerMachine is the processor time that a list takes per machine: 1.1 us to
+	// decode, as much again for the call, and the comparison with the known state.
 	listCPUPerMachine = 5 * time.Microsecond
 	maxListGap        = 2 * time.Second
 )
 
-// Bytes of calls with their headers, as counted on a quiet day of 372 workers; values
-// and specifications come on top.
+// Sizes of calls in bytes, with headers but without values and specifications, other than
+// fullStartBytes, which is a start with a usual specification.
 const (
 	startBytes     = 300
 	fullStartBytes = 800
@@ -84,50 +85,51 @@
 	machineBytes   = 150
 )
 
-// Links that the settings say nothing of, in megabits a second: what they are taken to
-// carry at most, and what an owner begins with, some two hundred starts a second: the
-// first moments on a link of 2 Mbit/s must not hold renewals up.
+// Link capacities in Mbit/s where the settings give none: the capacity that is assumed as
+// the upper limit, and the one that the initial rate is for. The latter allows some two
+// hundred starts per second, so that an owner behind a link of 2 Mbit/s does not delay its
+// own renewals when it begins.
 const (
 	DefaultLinkMbps = 1000
 	initialLinkMbps = 2
 )
 
-// bytesPerMegabit turns megabits a second into bytes a second.
+// bytesPerMegabit converts Mbit/s to bytes per second.
 const bytesPerMegabit = 1e6 / 8
 
-// flowControl paces what an owner sends to workers, by what its link carries and by how long
-// answers take. Starts wait for their turn here; looks go ahead of them.
+// flowControl limits the rate at which an owner sends to workers, by the capacity of its
+// link and by response times. Starts wait until the rate allows them; polls go first.
 type flowControl struct {
-	// link is what the link carries, and rate what the owner may send, in bytes a
+	// link is the capacity of the link, rate what the owner may send, both in bytes per
 	// second.
 	link, rate float64
-	// cores is how much of a core the host has.
+	// cores is how many cores the owner may use, also a fraction of one.
 	cores float64
-	// budget is how many bytes may be sent now. What is sent all the same, as looks, stops
-	// and writes are, takes it below zero.
+	// budget is how many bytes may be sent now. It falls below zero by calls that do not
+	// wait for it, such as polls, stops and writes.
 	budget tokenBucket
-	// inFlight counts the starts that have not been answered.
+	// inFlight counts the starts without a response.
 	inFlight int
-	// adjustedAt is when the rate was last judged, took the answer times and sent the bytes
-	// since. held says that starts were held back since, full that this was as many of
-	// them were on their way as may be.
+	// adjustedAt is when the rate was last adjusted. The following are counted since then:
+	// response times, bytes sent, whether starts were held back, and whether that was
+	// because too many were in flight.
 	adjustedAt               time.Time
 	latencies                []time.Duration
 	sentBytes                float64
 	startsHeld, inFlightFull bool
-	// decreasedAt is when the rate last fell, ceiling what it fell from, heldAt when starts
-	// were last held back.
+	// decreasedAt is when the rate last fell, startsHeldAt when starts were last held back,
+	// and ceiling the rate before the current congestion episode.
 	decreasedAt, startsHeldAt time.Time
 	ceiling                   float64
-	// sentStarts are the starts since the last judgement, starts how many are sent in a
-	// second where all that may are.
+	// sentStarts counts the starts since adjustedAt. startRate is the moving average of
+	// starts per second over intervals in which some were held back.
 	sentStarts int
 	startRate  float64
-	// busyWorkers is how many workers are looked at all the time.
+	// busyWorkers is the number of workers with runs, which are polled without a pause.
 	busyWorkers int
 }
 
-// newFlowControl returns the pace of an owner on a host of the size.
+// newFlowControl returns the flow control of an owner on a host of the size.
 func newFlowControl(s Size, now time.Time) flowControl {
 	megabits, first := s.LinkMbps, s.LinkMbps
 	if megabits <= 0 {
@@ -145,7 +147,8 @@
 	return f.rate * burstFor.Seconds()
 }
 
-// advance lets time pass. It reports whether the rate has fallen.
+// advance refills the budget, and adjusts the rate when that is due. It reports whether the
+// rate has fallen.
 func (f *flowControl) advance(now time.Time) bool {
 	f.budget.refill(now, f.rate, f.burst())
 	if now.Sub(f.adjustedAt) < adjustEvery {
@@ -156,7 +159,7 @@
 	return f.rate < before
 }
 
-// adjust sets the rate by what the answers since the last time say.
+// adjust sets the rate by the responses since the last adjustment.
 func (f *flowControl) adjust(now time.Time) {
 	d := now.Sub(f.adjustedAt).Seconds()
 	sent := f.sentBytes / d
@@ -180,7 +183,6 @@
 	f.adjustedAt = now
 }
 
-// decrease lowers the rate.
 func (f *flowControl) decrease(now time.Time, rate float64) {
 	if now.Sub(f.decreasedAt) > congestionEpisode {
 		f.ceiling = f.rate
@@ -189,7 +191,7 @@
 	f.decreasedAt = now
 }
 
-// increase returns what the rate grows by: little near where it last had to fall.
+// increase returns the factor that the rate grows by, which is smaller near the ceiling.
 func (f *flowControl) increase() float64 {
 	if f.ceiling > 0 && f.rate > nearCeiling*f.ceiling {
 		return slowIncrease
@@ -197,7 +199,7 @@
 	return fastIncrease
 }
 
-// noteStartRate takes in how many starts were sent in a second.
+// noteStartRate adds a number of starts per second to the moving average.
 func (f *flowControl) noteStartRate(n float64) {
 	if f.startRate == 0 {
 		f.startRate = n
@@ -206,8 +208,8 @@
 	f.startRate += startRateWeight * (n - f.startRate)
 }
 
-// timeToSend returns how long so many starts take to be sent, by what was sent of late or, where
-// none were held back yet, by what may be sent.
+// timeToSend returns how long it takes to send this many starts, at the rate of late or, if
+// none were held back yet, at the allowed rate.
 func (f *flowControl) timeToSend(starts int) time.Duration {
 	n := f.startRate
 	if n == 0 {
@@ -216,8 +218,8 @@
 	return time.Duration(float64(starts) / n * float64(time.Second))
 }
 
-// noteResponse takes in that a worker has answered at once what was sent at a time. What
-// was on its way when the rate last fell says nothing of the rate since.
+// noteResponse records the response time of a call that a worker answers without waiting.
+// Calls from before the last decrease say nothing about the rate since then.
 func (f *flowControl) noteResponse(sentAt, now time.Time) {
 	if sentAt.Before(f.decreasedAt) {
 		return
@@ -225,7 +227,7 @@
 	f.latencies = append(f.latencies, now.Sub(sentAt))
 }
 
-// spend counts what is sent.
+// spend takes bytes that are sent from the budget.
 func (f *flowControl) spend(bytes int) {
 	f.budget.tokens = max(f.budget.tokens-float64(bytes), -f.rate*debtFor.Seconds())
 	f.sentBytes += float64(bytes)
@@ -242,43 +244,44 @@
 	return false
 }
 
-// nextStartAt returns when the next start may be sent, if not by an answer.
+// nextStartAt returns when the next start may be sent if no response allows it before.
 func (f *flowControl) nextStartAt(now time.Time) time.Time {
 	d := time.Duration((1 - f.budget.tokens) / f.rate * float64(time.Second))
 	return now.Add(max(d, minStartDelay))
 }
 
-// startSent counts a start that is sent, and started that it was answered, or never will be.
+// startSent counts a start with so many bytes on top of startBytes.
 func (f *flowControl) startSent(bytes int) {
 	f.spend(startBytes + bytes)
 	f.inFlight++
 	f.sentStarts++
 }
 
+// startAnswered counts the end of a start's call, with a response or without.
 func (f *flowControl) startAnswered() {
 	f.inFlight--
 }
 
-// mayPoll reports whether a worker may be looked at that was last asked at a time.
-// Looks keep leases alive: where the rate is short they come less often, and the first
-// ones one after the other.
-func (f *flowControl) mayPoll(met bool, askedAt, now time.Time) bool {
+// mayPoll reports whether a worker that was last sent a poll at pollSentAt may be polled now.
+// Polls extend leases: while the budget is used up they become less frequent, but do not wait
+// for it. First polls wait until less than a burst is overdrawn, so that they go one by one.
+func (f *flowControl) mayPoll(contacted bool, pollSentAt, now time.Time) bool {
 	switch {
 	case f.budget.tokens > 0:
 		return true
-	case !met:
+	case !contacted:
 		return f.budget.tokens > -f.burst()
 	}
-	return !now.Before(askedAt.Add(f.pollGap()))
+	return !now.Before(pollSentAt.Add(f.pollGap()))
 }
 
-// pollGap is the least time between two looks at a worker where the rate is short.
+// pollGap returns the shortest time between two polls of a worker while the budget is used up.
 func (f *flowControl) pollGap() time.Duration {
 	return min(maxPollGap, time.Duration(float64(f.busyWorkers*pollBytes)/(pollShare*f.rate)*float64(time.Second)))
 }
 
-// listGap is the least time between two lists of so many machines, while orders are under
-// way.
+// listGap returns the shortest time between two reads of a list of so many machines while
+// orders are under way.
 func (f *flowControl) listGap(machines int) time.Duration {
 	byLink := time.Duration(float64(machines*machineBytes) / (listShare * f.link) * float64(time.Second))
 	byCores := time.Duration(float64(machines) / (listShare * f.cores) * float64(listCPUPerMachine))
--- a/job/machine_orders.go
+++ b/job/machine_orders.go
@@ -12,8 +12,8 @@
 	return platform.Holder{Name: c.holder, Fence: o.fence}
 }
 
-// finishOrder ends an order whose machine is up in a list that was asked for
-// after the order was taken. An order that was done already leaves the machine
+// finishOrder clears the order of a machine that is up in a list requested after the
+// platform accepted the order. An order that had been carried out before leaves the machine
 // as it was.
 func (c *Core) finishOrder(m *machine, listSentAt time.Time) {
 	o := m.order
@@ -24,11 +24,11 @@
 		o.wave.finish(m.Name)
 	}
 	c.markUnverified(m)
-	c.emit(LogLine{What: "machine up", Why: "its order is done", Fields: []any{"machine", m.Name, "pool", m.Pool, "took_ms", c.now.Sub(o.sentAt).Milliseconds()}})
+	c.emit(LogLine{What: "machine up", Why: "its order is complete", Fields: []any{"machine", m.Name, "pool", m.Pool, "took_ms", c.now.Sub(o.sentAt).Milliseconds()}})
 	c.clearOrder(m)
 }
 
-// apply takes in the answer to an order.
+// apply handles the result of an order to a machine.
 func (e MachineOrderResult) apply(c *Core) {
 	m := c.machinesByName[e.Machine]
 	if m == nil || m.order == nil {
@@ -44,10 +44,10 @@
 			c.noteWaveBegan(o.wave, m.Name)
 		}
 	case errors.Is(e.Err, platform.ErrUnknown):
-		// It may be carried out late: the same order again settles it.
+		// It may still be carried out. Sending the same order again is idempotent.
 		o.resendAt = c.now.Add(orderRetry)
 	case e.Verdict == platform.OrderFence:
-		c.emit(StepDown{Why: "a machine has had orders with a higher fence"})
+		c.emit(StepDown{Why: "a machine has seen a higher fence"})
 	case e.Verdict == platform.OrderWave:
 		o.wave.drop(m.Name)
 		c.clearOrder(m)
@@ -60,8 +60,9 @@
 	}
 }
 
-// markUnverified has those workers of a machine answer anew that were known before its order
-// was first sent: it may have a worker of the same name since.
+// markUnverified holds back starts on a machine's workers until they answer a poll, if they
+// were known before its order was decided on: another incarnation under the same name may run
+// there since.
 func (c *Core) markUnverified(m *machine) {
 	for _, w := range c.workersByHost[m.Name] {
 		if w.knownSince.Before(m.order.decidedAt) {
@@ -78,7 +79,7 @@
 	c.release(m)
 }
 
-// release lets a machine's worker take starts again.
+// release lets the machine's worker get starts again.
 func (c *Core) release(m *machine) {
 	w := c.workerOf(m)
 	if w == nil {
@@ -91,9 +92,9 @@
 	}
 }
 
-// retire takes the worker of a machine that gets an order out of the roster if
-// nothing runs there and all its ends are written, so that a next owner does not wait
-// for its answer.
+// retire keeps starts from the worker of a machine that gets an order. If nothing runs there
+// and all its ends are stored, it also leaves the roster, so that the next owner does not
+// wait for its answer.
 func (c *Core) retire(m *machine) {
 	w := c.workerOf(m)
 	if w == nil {
@@ -120,7 +121,7 @@
 	return b
 }
 
-// resend repeats an order whose answer was lost.
+// resend repeats an order without a response when it is due and the budget allows it.
 func (c *Core) resend(m *machine) {
 	o := m.order
 	if o == nil || !o.acceptedAt.IsZero() || o.resendAt.IsZero() || c.now.Before(o.resendAt) {
@@ -140,7 +141,7 @@
 		!c.now.Before(m.retryAt) && !c.now.Before(c.heldUntil[m.Name])
 }
 
-// recentlyOrdered returns the machines that have orders or had them within handOver.
+// recentlyOrdered returns the machines that have an order or got one within handoverPause.
 func (c *Core) recentlyOrdered() []string {
 	var l []string
 	for n, m := range c.machinesByName {
@@ -152,7 +153,8 @@
 	return l
 }
 
-// sendRecorded sends the orders that the store now names to a next owner.
+// sendRecorded sends the orders to the given machines, which the store has recorded at the
+// revision, so that the next owner learns of them.
 func (c *Core) sendRecorded(ordered []string, at platform.Revision) {
 	for _, n := range ordered {
 		m := c.machinesByName[n]
@@ -164,7 +166,8 @@
 	}
 }
 
-// recordOrder records that a machine is to get an order, which is sent after that.
+// recordOrder sets the machine's order and queues a store write that names the machine. The
+// order is sent after that write.
 func (c *Core) recordOrder(m *machine, o *machineOrder) {
 	o.sentAt, o.decidedAt = c.now, c.now
 	m.order = o
@@ -173,7 +176,7 @@
 	c.markOrderedDirty(m)
 }
 
-// sendOrder gives the order of the machine.
+// sendOrder sends the machine's order to the platform.
 func (c *Core) sendOrder(m *machine) {
 	o := m.order
 	m.orderedAt = c.now
--- a/job/machines.go
+++ b/job/machines.go
@@ -7,46 +7,47 @@
 	"amberway/platform"
 )
 
-// Times of orders to machines.
+// Intervals and delays of lists of machines and of orders to them.
 const (
-	// handoverPause is how long no order goes to a machine to which the owner before
-	// gave one: two holders may not take turns within three seconds.
+	// handoverPause is how long a machine that got an order from the previous owner gets
+	// none: two holders may not alternate within three seconds.
 	handoverPause = 3200 * time.Millisecond
-	// firstOrderDelay is how long an owner waits for its workers' first answers
-	// before it gives orders to machines.
+	// firstOrderDelay is how long a new owner waits for the first poll results of its workers
+	// before it sends orders to machines.
 	firstOrderDelay = 300 * time.Millisecond
-	// evacuationDelay is how long an owner leaves lasting tasks where they are: a run
-	// that the owner before has stopped is listed as running for as long as the
-	// stop takes, four tenths of a second, and looks from before that must not
-	// speak for it any more.
+	// evacuationDelay is how long a new owner evacuates no lasting tasks: a run that the
+	// previous owner stopped is still listed while it stops, for 0.4 s, and polls from
+	// before then must be out of date.
 	evacuationDelay = pollFreshFor + 600*time.Millisecond
-	// listEvery is how often the list of machines is read while orders are
-	// under way, listIdle otherwise.
+	// listEvery is the interval between reads of the list of machines while orders are under
+	// way, listIdleEvery otherwise.
 	listEvery     = 600 * time.Millisecond
 	listIdleEvery = 4 * time.Second
-	// listAfterSilence is how soon the list is read after a worker has fallen silent: it
-	// tells a crash from a cut, and several fall silent together.
+	// listAfterSilence is the delay of a read after a worker has become silent. The list
+	// tells a crash from a partition, and one read is to cover all workers that become silent
+	// together.
 	listAfterSilence = 100 * time.Millisecond
-	// orderVisibleAfter is how long after an order the list is sure to show it.
+	// orderVisibleAfter is the time from an accepted order until every list reflects it.
 	orderVisibleAfter = 100 * time.Millisecond
-	// orderRetry is the pause after an order that was refused or not answered.
+	// orderRetry is the delay before a refused or unanswered order, or a failed list, is
+	// tried again.
 	orderRetry = 500 * time.Millisecond
 )
 
-// machines is what the owner knows of machines, and the orders it gives.
+// machines is the owner's state of the machines and of its orders to them.
 type machines struct {
 	orderBudget orderBudget
 	holder      string
-	// ordersFrom is when the owner knows enough to give orders; heldUntil holds
-	// back those to machines that the owner before gave orders to.
+	// ordersFrom is when the owner knows enough to send orders. heldUntil holds back orders
+	// to machines that got one from the previous owner.
 	ordersFrom time.Time
 	heldUntil  map[string]time.Time
-	// evacuateFrom is when the owner knows which lasting tasks are at work.
+	// evacuateFrom is when the owner knows which lasting tasks are ready.
 	evacuateFrom   time.Time
 	machinesByName map[string]*machine
 	listing        bool
 	listAt         time.Time
-	// silenceAt is when a worker last fell silent.
+	// silenceAt is when a worker last became silent.
 	silenceAt time.Time
 	waves     map[int64]*wave
 	balance   poolBalancer
@@ -55,54 +56,54 @@
 // machine is one machine of the fleet.
 type machine struct {
 	platform.Machine
-	// order is the order under way, if any.
+	// order is the order under way, or nil.
 	order *machineOrder
-	// retryAt holds back the next order. It is kept apart from the repeatAt of an order, so
-	// that a new order is not taken for one to repeat before it is recorded.
+	// retryAt holds back the next order. It is separate from an order's resendAt, so that a
+	// new order is not resent before it is recorded.
 	retryAt time.Time
-	// orderedAt is when it last got an order.
+	// orderedAt is when an order was last sent to it.
 	orderedAt time.Time
-	// drainingSince says since when it has been kept free of new runs.
+	// drainingSince is since when it gets no new runs, as it is being emptied.
 	drainingSince time.Time
-	// transferTo is the pool that the machine is to be lent to once it is empty.
+	// transferTo is the pool that the machine is to move to once it is empty.
 	transferTo string
-	// missedLists counts the lists of machines in a row that lacked it.
+	// missedLists counts the consecutive lists of machines without it.
 	missedLists int
-	// unknownWorkerSince says since when the list names a worker there that the owner has not
-	// heard of, or has given up.
+	// unknownWorkerSince is since when the list names a worker there that the owner does not
+	// know, or has removed.
 	unknownWorkerSince time.Time
 }
 
-// machineOrder is an order from its sending until the machine is up again.
+// machineOrder is an order to a machine, from the decision until the machine is up again.
 type machineOrder struct {
 	pool   string
 	wave   *wave
 	sentAt time.Time
-	// decidedAt is when it was decided on, before it was first sent.
+	// decidedAt is when it was decided on. It is first sent once it is recorded.
 	decidedAt time.Time
-	// recorded says that the roster in the store names the machine.
+	// recorded says that the store names the machine among those with orders.
 	recorded bool
 	// fence is the revision of the write that recorded the order. It rises with each order
-	// of an owner, so that the platform refuses one that it carries out after a newer one,
-	// and it is below the fence of the next owner, before whose claim the write was made.
+	// of an owner, so that the platform refuses an order that arrives after a newer one, and
+	// it is below the next owner's fence, whose write came later.
 	fence platform.Fence
-	// resendAt is when it is sent again, if it was not answered.
+	// resendAt is when an order without a response is sent again.
 	resendAt time.Time
-	// acceptedAt is when the platform answered with success.
+	// acceptedAt is when the platform accepted it.
 	acceptedAt time.Time
 }
 
 // ListMachines reads the list of machines.
 type ListMachines struct{}
 
-// MoveMachine orders a machine into another pool.
+// MoveMachine orders the platform to move a machine to another pool.
 type MoveMachine struct {
 	Holder  platform.Holder
 	Machine string
 	Pool    string
 }
 
-// MaintainMachine orders the upkeep of a machine.
+// MaintainMachine orders the maintenance of a machine.
 type MaintainMachine struct {
 	Holder  platform.Holder
 	Machine string
@@ -113,14 +114,14 @@
 func (MoveMachine) action()     {}
 func (MaintainMachine) action() {}
 
-// MachineList is the outcome of a ListMachines.
+// MachineList is the result of a ListMachines.
 type MachineList struct {
 	SentAt   time.Time
 	Machines []platform.Machine
 	Err      error
 }
 
-// MachineOrderResult is the outcome of a MoveMachine or MaintainMachine.
+// MachineOrderResult is the result of a MoveMachine or MaintainMachine.
 type MachineOrderResult struct {
 	Machine string
 	Verdict platform.MachineVerdict
@@ -140,7 +141,8 @@
 	}
 }
 
-// reconcileMachines reads the list if it is due, and moves and maintains machines.
+// reconcileMachines reads the list of machines if that is due, and sends the orders that
+// waves and pools need.
 func (c *Core) reconcileMachines() {
 	if !c.listing && !c.now.Before(c.listAt) {
 		c.listing = true
@@ -153,12 +155,13 @@
 	c.reconcilePools()
 }
 
-// apply takes in the list of machines.
+// apply updates the known machines from a list, and finishes the orders that it shows as
+// carried out.
 func (e MachineList) apply(c *Core) {
 	c.listing = false
 	c.listAt = c.now.Add(listIdleEvery)
 	if e.SentAt.Before(c.silenceAt) {
-		// A worker fell silent after the list was asked for.
+		// A worker became silent after the list was requested.
 		c.listAt = c.now.Add(listAfterSilence)
 	}
 	if e.Err != nil {
@@ -183,14 +186,14 @@
 	e.countMissing(c)
 }
 
-// listGap is the least time between two lists while orders are under way.
+// listGap returns the shortest time between two reads of the list while orders are under way.
 func (c *Core) listGap() time.Duration {
 	return c.flow.listGap(len(c.machinesByName))
 }
 
-// checkIncarnation marks the record of a worker that its machine does not run any
-// more. A silent one is given up at once. A life that was heard of after the list was
-// asked for may have begun since.
+// checkIncarnation marks the workers of a machine as stale that it does not run any more by
+// the list. A stale worker that is silent is removed at once. A worker that was heard of after
+// the list was requested may have started since, and is skipped.
 func (c *Core) checkIncarnation(m *machine, listSentAt time.Time) {
 	for _, w := range slices.Clone(c.workersByHost[m.Name]) {
 		other := m.Worker != w.ID.Name()
@@ -199,13 +202,13 @@
 		}
 		w.stale = other
 		if w.stale && w.missedPolls > 0 {
-			c.removeWorker(w, "its machine runs another life or none, by the list of machines")
+			c.removeWorker(w, "its machine runs another incarnation or none, by the list of machines")
 		}
 	}
 }
 
-// workerOf returns the worker on the machine, or nil. A worker whose record has
-// gone from the store may live on.
+// workerOf returns the worker on the machine, or nil. A worker without a record in the store
+// may still run.
 func (c *Core) workerOf(m *machine) *worker {
 	if w := c.current[m.Worker]; w != nil {
 		return w
@@ -213,8 +216,8 @@
 	return c.listedByHost[m.Name]
 }
 
-// noteUnknownWorker notes whether the list names a worker on the machine that the owner does
-// not know.
+// noteUnknownWorker records since when the list names a worker on the machine that the owner
+// does not know.
 func (c *Core) noteUnknownWorker(m *machine) {
 	switch {
 	case m.Worker == "" || c.current[m.Worker] != nil:
@@ -224,16 +227,17 @@
 	}
 }
 
-// runsExpired reports whether all that any owner has started on the machine must have
-// lapsed: its worker, of which there is no record, was not heard of for as long as a lease
-// may last, and nobody else has owned meanwhile. Waves and moves went without such a
-// machine for as long as it was listed.
+// runsExpired reports whether the lease of all runs that any owner started on the machine must
+// have expired: its worker, which has no record, has been unknown for the longest time that a
+// lease may last, and nobody else was the owner meanwhile. Without this, waves and moves would
+// skip such a machine for as long as it is listed.
 func (c *Core) runsExpired(m *machine) bool {
 	return !m.unknownWorkerSince.IsZero() && c.ownedUntil.After(m.unknownWorkerSince.Add(inheritedLease))
 }
 
-// runsKnown reports whether what runs on the machine is known: nothing where it has
-// no worker, or one of which nothing is heard; else what its worker has answered of late.
+// runsKnown reports whether the owner knows what runs on the machine: nothing if it has no
+// worker, or one that is dormant, or an unknown one whose runs have expired; otherwise what
+// its worker listed, if that has answered its last poll.
 func (c *Core) runsKnown(m *machine) bool {
 	if m.Worker == "" {
 		return true
@@ -245,9 +249,10 @@
 	return c.dormant(w) || w.contacted && w.missedPolls == 0
 }
 
-// drainMachine keeps new runs from the machine and evacuates it. It reports whether
-// nothing is left that is worth waiting for.
-func (c *Core) drainMachine(m *machine, patience time.Duration) bool {
+// drainMachine keeps new runs from the machine and evacuates it. It reports whether the
+// machine is ready for an order: it is empty, or its lasting tasks have left and the others
+// have had the timeout to end.
+func (c *Core) drainMachine(m *machine, timeout time.Duration) bool {
 	if !c.runsKnown(m) {
 		return false
 	}
@@ -262,5 +267,5 @@
 	if !c.evacuate(w) {
 		return false
 	}
-	return len(w.runs) == 0 || !c.now.Before(m.drainingSince.Add(patience))
+	return len(w.runs) == 0 || !c.now.Before(m.drainingSince.Add(timeout))
 }
--- a/job/order_budget.go
+++ b/job/order_budget.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// The platform takes so many orders to machines a second from all entry hosts together,
-// and refuses those beyond: 2,800 idle machines that were all ordered into the spare pool
-// at once cost 166,000 calls in 42 s, most of them refused, and the owner's processor with
-// them, so that nine of ten jobs came late or were refused.
+// The platform limits the orders to machines per second from all entry hosts together, and
+// refuses those beyond the limit. When 2,800 idle machines were ordered to the spare pool at
+// once without a rate limit, that took 166,000 calls in 42 s, most of them refused, and used
+// up the owner's processor, so that nine of ten jobs were late or refused.
 
-// Figures of pacing orders to machines.
+// Settings of the rate limit on orders to machines.
 const (
-	// defaultOrderRate is how many orders a second an owner gives where the settings do
-	// not say how many are taken: the least of the users' platforms.
+	// defaultOrderRate is the limit in orders per second where the settings give none: the
+	// lowest of the platforms in use.
 	defaultOrderRate = 64
-	// ordersBurst is how long orders that were not given are saved up: pools are looked at
-	// each tenth of a second, and a turn of the load asks for some dozen machines at once.
+	// ordersBurst is the time over which unused orders add up to a burst: pools are planned
+	// every tenth of a second, and a shift of the load needs some dozen machines at once.
 	ordersBurst = time.Second
-	// orderReserve is the part of that which is left for pools that are short when
-	// machines go to the spare pool, which can wait.
+	// orderReserve is the fraction of the burst that is reserved for pools that lack machines.
+	// Orders that release machines to the spare pool can wait.
 	orderReserve = 0.5
-	// refusedPause is how long no order goes out after one that was refused.
+	// refusedOrderPause is how long no order is sent after a refused one.
 	refusedOrderPause = 100 * time.Millisecond
 )
 
-// orderBudget says how many orders to machines may be given now.
+// orderBudget limits the rate of orders to machines.
 type orderBudget struct {
 	tokenBucket
 	perSecond float64
-	// pausedUntil is when orders may go out again after a refusal.
+	// pausedUntil is when orders may be sent again after a refusal.
 	pausedUntil time.Time
 }
 
@@ -39,12 +39,13 @@
 	return b
 }
 
-// burst is what can be saved up, one order at least.
+// burst returns the most orders that can be sent at once, which is one at least.
 func (b *orderBudget) burst() float64 {
 	return max(1, b.perSecond*ordersBurst.Seconds())
 }
 
-// allows reports whether an order may be given that leaves a part of what can be saved up.
+// allows reports whether an order may be sent so that the reserve, a fraction of the burst,
+// is left.
 func (b *orderBudget) allows(now time.Time, reserve float64) bool {
 	b.refill(now, b.perSecond, b.burst())
 	return !now.Before(b.pausedUntil) && b.tokens-1 >= reserve*b.burst()
@@ -55,17 +56,17 @@
 	b.tokens--
 }
 
-// pause notes that the platform takes no more orders at the moment.
+// pause holds back orders for a while after the platform has refused one.
 func (b *orderBudget) pause(now time.Time) {
 	b.pausedUntil = now.Add(refusedOrderPause)
 }
 
-// mayOrder reports whether a machine that is needed may be ordered now.
+// mayOrder reports whether an order may be sent now for a machine that is needed.
 func (c *Core) mayOrder() bool {
 	return c.orderBudget.allows(c.now, 0)
 }
 
-// mayRelease reports whether a machine that is not needed may be ordered now.
+// mayRelease reports whether an order may be sent now for a machine that is not needed.
 func (c *Core) mayRelease() bool {
 	return c.orderBudget.allows(c.now, orderReserve)
 }
--- a/job/orders.go
+++ b/job/orders.go
@@ -7,23 +7,23 @@
 	"amberway/platform"
 )
 
-// Times of orders to workers.
+// Delays of orders to workers.
 const (
-	// fullPause holds back starts after a worker had no room, until the next look
-	// tells what runs there.
+	// fullPause holds back starts after a worker refused one for lack of room, until the
+	// next poll lists what runs there.
 	fullPause = 400 * time.Millisecond
-	// unhealthyPause holds back starts after a worker refused to serve.
+	// unhealthyPause holds back starts after a worker answered one with an error.
 	unhealthyPause = time.Second
-	// refusedPause comes before a refused task is tried at another worker.
+	// refusedPause is the delay before a refused task is tried on another worker.
 	refusedPause = 20 * time.Millisecond
-	// settleAfter is how long a start without an answer waits to be listed
-	// before it is stopped.
+	// settleAfter is how long an unconfirmed start may remain unlisted before the run is
+	// stopped, and the delay before a stop is repeated.
 	settleAfter = 300 * time.Millisecond
-	// settlePoll is the pause between looks that are to tell how a lasting run stands.
+	// settlePoll is the interval of polls that are to settle the state of a lasting run.
 	settlePoll = 100 * time.Millisecond
 )
 
-// start orders a run of the task on the worker.
+// start sends an order to start a run of the task on the worker.
 func (c *Core) start(t *task, w *worker, number int64, ticket string) {
 	r := &run{number: number, task: t, at: w, phase: starting, sentAt: c.now, progressAt: c.now, pacing: pacing{pace: fullPace}}
 	r.attach()
@@ -52,7 +52,7 @@
 	return c.lastRun
 }
 
-// stop has a run end. Its room stays taken until the end is known.
+// stop has a run stopped. Its resources stay in use until its end is known.
 func (c *Core) stop(r *run, why string) {
 	if r.phase == stopping {
 		return
@@ -65,8 +65,9 @@
 	c.sendStop(r)
 }
 
-// sendStop sends the order to stop that is owed. Each time it asks anew whether the run may
-// end: others of its step may be away by now that were at work when its stop was decided.
+// sendStop sends the order to stop a run, unless one is pending or confirmed. It checks each
+// time whether the run may be stopped: other tasks of its step that were ready when the stop
+// was decided on may be unavailable by now.
 func (c *Core) sendStop(r *run) {
 	if r.stopPending || r.stopConfirmed {
 		return
@@ -83,15 +84,15 @@
 	c.orderStop(r.at, r.task.key().String(), r.number)
 }
 
-// noteStopAgain logs an order to stop that is repeated, as its answer was lost.
+// noteStopAgain logs that an order to stop is repeated, as no response came.
 func (c *Core) noteStopAgain(r *run) {
-	in := []any{"sent", r.stopAttempts, "decided_ms", c.now.Sub(r.stopAt).Milliseconds()}
-	c.noteRun(r, "stop sent again", "", append(in, c.stopInputs(r)...))
+	fields := []any{"sent", r.stopAttempts, "decided_ms", c.now.Sub(r.stopAt).Milliseconds()}
+	c.noteRun(r, "stop sent again", "", append(fields, c.stopInputs(r)...))
 }
 
 // noteRun logs a decision on a run.
-func (c *Core) noteRun(r *run, what, why string, inputs []any) {
-	c.emit(LogLine{What: what, Job: r.task.of.of.job.id, Task: r.task.key().String(), Run: r.number, Worker: r.at.ID, Why: why, Fields: inputs})
+func (c *Core) noteRun(r *run, what, why string, fields []any) {
+	c.emit(LogLine{What: what, Job: r.task.of.of.job.id, Task: r.task.key().String(), Run: r.number, Worker: r.at.ID, Why: why, Fields: fields})
 }
 
 func (c *Core) orderStop(w *worker, task string, run int64) {
@@ -99,7 +100,8 @@
 	c.emit(StopRun{Worker: w.Worker, Task: task, Run: run, Fence: c.fence})
 }
 
-// reconcileRuns sends the orders to stop that are owed at a worker.
+// reconcileRuns sends the orders to stop that are due on a worker: for unconfirmed starts that
+// do not get listed, for stops without a response, and for orphans.
 func (c *Core) reconcileRuns(w *worker) {
 	for _, r := range w.runs {
 		if r.phase == unconfirmed && c.now.After(r.knownAt.Add(settleAfter)) && c.maySettle(r) {
@@ -117,9 +119,10 @@
 	}
 }
 
-// maySettle reports whether a run of which it is not known whether it began may be
-// stopped to settle that. A task of which only some may be away could be at work by now: the
-// stop follows a look that does not list it at once, or waits until others are at work.
+// maySettle reports whether a run with an unconfirmed start may be stopped to settle whether it
+// started. In a step with a disruption budget the task may be ready by now: the run is stopped
+// only after a poll did not list it, and if the budget allows it or the task is known not to be
+// ready.
 func (c *Core) maySettle(r *run) bool {
 	if !r.task.of.hasDisruptionBudget() {
 		return true
@@ -127,7 +130,7 @@
 	return r.absent && c.mayStop(r)
 }
 
-// apply takes in the answer to a start.
+// apply handles the result of a start.
 func (e StartResult) apply(c *Core) {
 	c.flow.startAnswered()
 	w := c.successor(e.Worker)
@@ -141,7 +144,7 @@
 	r := w.find(k, e.Run)
 	switch {
 	case errors.Is(e.Err, platform.ErrOtherIncarnation) && w.ID == e.Worker:
-		c.removeWorker(w, "another life answers at its address")
+		c.removeWorker(w, "another incarnation answers at its address")
 		return
 	case e.Rejection == platform.RejectedFence:
 		c.emit(StepDown{Why: "a worker has seen a higher fence"})
@@ -179,7 +182,7 @@
 	c.markStarted(r.task.of.of.job)
 }
 
-// startRefused frees a run that has certainly not begun.
+// startRefused drops a run that is certain not to have started.
 func (c *Core) startRefused(r *run, e StartResult) {
 	w := r.at
 	t := r.task
@@ -205,7 +208,7 @@
 	}
 }
 
-// apply takes in the answer to an order to stop.
+// apply handles the result of an order to stop.
 func (e StopResult) apply(c *Core) {
 	w := c.successor(e.Worker)
 	if w == nil {
@@ -216,7 +219,7 @@
 	}
 	switch {
 	case errors.Is(e.Err, platform.ErrOtherIncarnation) && w.ID == e.Worker:
-		c.removeWorker(w, "another life answers at its address")
+		c.removeWorker(w, "another incarnation answers at its address")
 		return
 	case e.Err == nil && e.Rejection == platform.RejectedFence:
 		c.emit(StepDown{Why: "a worker has seen a higher fence"})
--- a/job/perform.go
+++ b/job/perform.go
@@ -8,22 +8,23 @@
 	"amberway/platform"
 )
 
-// Bounds of one call to a worker.
+// Timeouts of calls to workers.
 const (
-	// orderTimeout is how long a start, stop or pace may take: a fifth of a worker's
-	// lease, so that a start whose answer was lost is settled well before it ends. A
-	// worker answers in a few milliseconds.
+	// orderTimeout is the timeout of a start, stop or pace: a fifth of a worker's lease, so
+	// that a start whose response was lost is settled well before the lease expires. Workers
+	// respond within a few milliseconds.
 	orderTimeout = leaseFor / 5
-	// pollSlack is how much longer than its wait a look may take. A silent kept
-	// connection has half of it and a new one the rest; the look after a wait still
-	// extends a lease of leaseFor in its first half.
+	// pollSlack is how much longer than its wait a poll may take. A kept-alive connection
+	// that does not respond has half of it, and a new connection the rest. The poll after
+	// that still extends a lease of leaseFor within its first half.
 	pollSlack = 700 * time.Millisecond
 )
 
-// errLeaseNotRenewed says that an order was not given.
+// errLeaseNotRenewed says that an order was not sent, as another owner may have taken over.
 var errLeaseNotRenewed = errors.New("not sent: the owner's lease has not been renewed in time")
 
-// perform does one action. All that waits runs beside the loop.
+// perform carries out one action. What may block runs in a goroutine of its own, so that it
+// does not hold up the event loop.
 func (o *owner) perform(ctx context.Context, a Action) {
 	switch a := a.(type) {
 	case LogLine:
@@ -61,32 +62,32 @@
 func (o *owner) poll(ctx context.Context, a PollWorker, sentAt time.Time) {
 	call, cancel := context.WithTimeout(ctx, a.Order.Wait+pollSlack)
 	defer cancel()
-	l, why, err := o.Workers.Poll(call, a.Worker, a.Order)
-	o.metrics.countOrder("look", orderOutcome(string(why), err))
-	o.send(ctx, PollResult{Worker: a.Worker.ID, SentAt: sentAt, Acked: a.Order.LastSeen, Poll: l, Rejection: why, Err: err})
+	reply, rejection, err := o.Workers.Poll(call, a.Worker, a.Order)
+	o.metrics.countOrder("look", orderOutcome(string(rejection), err))
+	o.send(ctx, PollResult{Worker: a.Worker.ID, SentAt: sentAt, Acked: a.Order.LastSeen, Poll: reply, Rejection: rejection, Err: err})
 }
 
 func (o *owner) startRun(ctx context.Context, a StartRun) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	why, clock, err := o.Workers.Start(call, a.Worker, a.Order)
-	o.metrics.countOrder("start", orderOutcome(string(why), err))
-	o.send(ctx, StartResult{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Rejection: why, Clock: clock, Err: err})
+	rejection, clock, err := o.Workers.Start(call, a.Worker, a.Order)
+	o.metrics.countOrder("start", orderOutcome(string(rejection), err))
+	o.send(ctx, StartResult{Worker: a.Worker.ID, Run: a.Order.Run, Task: a.Order.Task, Rejection: rejection, Clock: clock, Err: err})
 }
 
 func (o *owner) stopRun(ctx context.Context, a StopRun) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	why, clock, err := o.Workers.Stop(call, a.Worker, a.Task, a.Run, a.Fence)
-	o.metrics.countOrder("stop", orderOutcome(string(why), err))
-	o.send(ctx, StopResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: why, Clock: clock, Err: err})
+	rejection, clock, err := o.Workers.Stop(call, a.Worker, a.Task, a.Run, a.Fence)
+	o.metrics.countOrder("stop", orderOutcome(string(rejection), err))
+	o.send(ctx, StopResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: rejection, Clock: clock, Err: err})
 }
 
 func (o *owner) paceRun(ctx context.Context, a PaceRun) {
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	why, _, err := o.Workers.Pace(call, a.Worker, a.Task, a.Run, a.Percent, a.Fence)
-	o.send(ctx, PaceResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: why, Err: err})
+	rejection, _, err := o.Workers.Pace(call, a.Worker, a.Task, a.Run, a.Percent, a.Fence)
+	o.send(ctx, PaceResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Rejection: rejection, Err: err})
 }
 
 func (o *owner) writeStore(ctx context.Context, a WriteStore) {
@@ -99,22 +100,22 @@
 }
 
 func (o *owner) listMachines(ctx context.Context, sentAt time.Time) {
-	l, err := o.Machines.List(ctx)
-	o.send(ctx, MachineList{SentAt: sentAt, Machines: l, Err: err})
+	machines, err := o.Machines.List(ctx)
+	o.send(ctx, MachineList{SentAt: sentAt, Machines: machines, Err: err})
 }
 
 func (o *owner) orderMachine(ctx context.Context, machine string, order func(context.Context) (platform.MachineVerdict, error)) {
 	if o.sinceRenewal() > ownerTTL {
-		// Somebody else may own by now, and machines do not compare fences.
+		// Another owner may have taken over, and machines do not compare fences.
 		o.send(ctx, MachineOrderResult{Machine: machine, Err: errLeaseNotRenewed})
 		return
 	}
-	v, err := order(ctx)
-	o.metrics.machineOrders.Add(ctx, 1, label("outcome", orderOutcome(string(v), err)))
-	o.send(ctx, MachineOrderResult{Machine: machine, Verdict: v, Err: err})
+	verdict, err := order(ctx)
+	o.metrics.machineOrders.Add(ctx, 1, label("outcome", orderOutcome(string(verdict), err)))
+	o.send(ctx, MachineOrderResult{Machine: machine, Verdict: verdict, Err: err})
 }
 
 func (o *owner) askAdvice(ctx context.Context, a RequestAdvice) {
-	l, valid, err := o.Advice.Ask(ctx, a.Step, a.Workers, a.Terms)
-	o.send(ctx, AdviceResult{Key: a.Key, Asked: a.Workers, Tickets: l, Valid: valid, Err: err})
+	tickets, valid, err := o.Advice.Ask(ctx, a.Step, a.Workers, a.Terms)
+	o.send(ctx, AdviceResult{Key: a.Key, Asked: a.Workers, Tickets: tickets, Valid: valid, Err: err})
 }
--- a/job/waves.go
+++ b/job/waves.go
@@ -12,39 +12,42 @@
 	"amberway/platform"
 )
 
-// waveDrainTimeout is how long a machine waits for its short tasks to end before
-// its upkeep ends them.
+// waveDrainTimeout is how long a machine waits for its short tasks to end before its
+// maintenance ends them.
 const waveDrainTimeout = 2500 * time.Millisecond
 
-// waveDrainAhead is how many machines are emptied ahead of those that may be down.
+// waveDrainAhead is how many machines are drained beyond the number that may be down.
 const waveDrainAhead = 2
 
-// wavePrefix begins the keys at which an owner keeps what has begun of a wave.
+// wavePrefix begins the store keys that hold the machines of a wave whose maintenance has
+// begun.
 const wavePrefix = ownerOnlyPrefix + "wave/"
 
-// wave is one wave of upkeep under way.
+// wave is a maintenance wave: machines to be maintained, no more than a cap at a time.
 type wave struct {
 	platform.Wave
 	endsAt time.Time
-	// pending are the machines whose upkeep has not begun; down those whose upkeep
-	// has begun or may have.
+	// pending are the machines whose maintenance has not begun, down those that are ordered
+	// or have begun and are not up again.
 	pending, down map[string]bool
-	began         []string
-	reported      bool
-	// knownSince is when the owner came to know of it, lists how many lists of
-	// machines were asked for and read since.
+	// began are the machines whose maintenance has begun, as the store records them.
+	began []string
+	// reported says that the wave is reported as done.
+	reported bool
+	// knownSince is when the owner learned of the wave, listsRead the number of lists of
+	// machines that were requested and read since.
 	knownSince time.Time
 	listsRead  int
 }
 
-// WaveRequested says that the operator asks for a wave.
+// WaveRequested says that the operator has requested a wave.
 type WaveRequested struct {
 	Wave platform.Wave
-	// Began are the machines whose upkeep an earlier owner saw begin.
+	// Began are the machines whose maintenance began under an earlier owner.
 	Began []string
 }
 
-// apply adds a wave.
+// apply adds the wave, unless it is known.
 func (e WaveRequested) apply(c *Core) {
 	if c.waves[e.Wave.Number] != nil {
 		return
@@ -69,18 +72,19 @@
 	return strconv.FormatInt(v.Number, 10)
 }
 
-// finish notes that a machine of the wave is up again.
+// finish records that a machine of the wave is up again.
 func (v *wave) finish(m string) {
 	delete(v.down, m)
 }
 
-// drop takes a machine out of the wave that is not of it any more.
+// drop removes a machine that does not belong to the wave any more.
 func (v *wave) drop(m string) {
 	delete(v.down, m)
 	delete(v.pending, m)
 }
 
-// noteWaveBegan notes that the platform has begun a machine's upkeep.
+// noteWaveBegan records, also in the store, that the platform has begun a machine's
+// maintenance.
 func (c *Core) noteWaveBegan(v *wave, m string) {
 	delete(v.pending, m)
 	if !slices.Contains(v.began, m) {
@@ -106,7 +110,8 @@
 	return n, l, nil
 }
 
-// reconcileWaves maintains the next machines of each wave.
+// reconcileWaves resends orders without a response, and orders the maintenance of the next
+// machines of each wave.
 func (c *Core) reconcileWaves() {
 	for _, m := range c.machinesByName {
 		c.resend(m)
@@ -122,7 +127,8 @@
 	}
 }
 
-// markInWave marks the workers on machines that the wave has yet to maintain.
+// markInWave marks the workers on machines with pending maintenance in the wave, so that
+// lasting tasks are placed elsewhere.
 func (c *Core) markInWave(v *wave) {
 	for n := range v.pending {
 		if m := c.machinesByName[n]; m != nil && c.workerOf(m) != nil {
@@ -155,8 +161,8 @@
 	}
 }
 
-// dropRemovedMachines takes machines that were removed out of the wave: they need no upkeep,
-// and none of them will come up again.
+// dropRemovedMachines drops removed machines from the wave, as they need no maintenance and
+// will not come up again.
 func (c *Core) dropRemovedMachines(v *wave) {
 	for _, n := range v.Machines {
 		if c.machinesByName[n] != nil || (!v.pending[n] && !v.down[n]) {
@@ -171,8 +177,9 @@
 	}
 }
 
-// machinesDown counts the machines of the wave that are down or may be: those with
-// an order of this owner, and those that an earlier owner's order still holds.
+// machinesDown counts the machines of the wave that are or may be down: those with an order
+// of this owner, and those that are in maintenance or down by the list, such as by an order of
+// an earlier owner.
 func (c *Core) machinesDown(v *wave) int {
 	n := len(v.down)
 	for _, name := range v.Machines {
@@ -184,8 +191,8 @@
 	return n
 }
 
-// waveCandidates returns the machines that can be maintained, those first that are
-// being emptied, then those whose upkeep ends least.
+// waveCandidates returns the pending machines that can be maintained now, by ascending cost:
+// machines without a worker first, then those that are being drained.
 func (c *Core) waveCandidates(v *wave) []*machine {
 	var l []*machine
 	cost := map[*machine]int{}
@@ -207,7 +214,8 @@
 	return l
 }
 
-// maintenanceCost rates what a machine's upkeep ends.
+// maintenanceCost returns the cost of the runs that a machine's maintenance ends; lasting ones
+// cost more. Machines without a worker, and those that are being drained, sort before all others.
 func maintenanceCost(m *machine, w *worker) int {
 	if w == nil {
 		return -2
