--- a/job/machines_test.go
+++ b/job/machines_test.go
@@ -174,8 +174,8 @@
 	require.NotEmpty(t, f.stops(), "tasks that never become ready must not defer stops forever")
 }
 
-// A lasting task is placed where no wave will end it, even though bin packing prefers the other
-// host.
+// A lasting task is placed on a host that no wave will maintain, even if one that a wave has yet to
+// maintain is fuller and would be preferred.
 func TestLastingTasksBeginOnHostsThatNoWaveWillMaintain(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
--- a/job/world_lasting_test.go
+++ b/job/world_lasting_test.go
@@ -185,17 +185,17 @@
 
 // checkOthers fails if too many other tasks of the step are unavailable to end the run.
 func (w *world) checkOthers(v *worldWorker, r *worldRun, k taskKey) {
-	var unavailable []string
+	var others []string
 	for x := range w.jobs[k.id].Steps[k.step].Count {
 		o := taskKey{id: k.id, step: k.step, index: x}.String()
 		a := w.unavailable[o]
 		if o != r.task && a != nil && (a.byOrder || w.now.Sub(a.since) >= unavailableAfter) {
-			unavailable = append(unavailable, fmt.Sprintf("%s for %s, by an order: %t", o, w.now.Sub(a.since), a.byOrder))
+			others = append(others, fmt.Sprintf("%s for %s, by an order: %t", o, w.now.Sub(a.since), a.byOrder))
 		}
 	}
-	if len(unavailable) >= r.step.MaxUnavailable {
+	if len(others) >= r.step.MaxUnavailable {
 		w.t.Fatalf("run %d of %s on %s, started %s ago, is ended while ready, with %d others of its step unavailable of at most %d: %s\n%s",
-			r.number, r.task, v.ID, w.now.Sub(r.began), len(unavailable), r.step.MaxUnavailable, strings.Join(unavailable, "; "), w.notesOn(k, v))
+			r.number, r.task, v.ID, w.now.Sub(r.began), len(others), r.step.MaxUnavailable, strings.Join(others, "; "), w.notesOn(k, v))
 	}
 }
 
--- a/job/world_test.go
+++ b/job/world_test.go
@@ -125,12 +125,12 @@
 }
 
 // newWorldOf returns a world whose workers report their incarnation or do not.
-func newWorldOf(t *rapid.T, tellsIncarnation bool) *world {
+func newWorldOf(t *rapid.T, withIncarnations bool) *world {
 	w := &world{
 		t: t, now: time.Unix(1e9, 0), workers: map[platform.WorkerID]*worldWorker{}, jobs: map[ID]Record{},
 		doneRuns: map[string][]*worldEnd{}, restarted: map[string][]*worldEnd{}, failures: map[string]int{}, worldCancels: newWorldCancels(), worldLinks: newWorldLinks(), worldCrashes: newWorldCrashes(), worldTeams: newWorldTeams(), worldRestarts: newWorldRestarts(), worldLasting: newWorldLasting(),
 	}
-	w.tellsIncarnation = tellsIncarnation
+	w.tellsIncarnation = withIncarnations
 	w.store = worldStore{revision: 10, records: map[ID]JobAccepted{}, progress: map[ID]Progress{}, cancels: map[ID]bool{}, own: ownerStore{}}
 	for i := range 3 {
 		w.addWorker(fmt.Sprint("host-", i))
