--- a/job/flow.go
+++ b/job/flow.go
@@ -59,13 +59,13 @@
 	burstFor = 50 * time.Millisecond
 	debtFor  = 200 * time.Millisecond
 	// pollShare is the share of the rate that polls may take while the budget is used up.
-	// The time between polls of a worker grows to maxPollGap for that, as a lease of
+	// The time between polls of a worker grows for that, up to maxPollGap: a lease of
 	// leaseFor has to outlast two polls.
 	pollShare  = 0.4
 	maxPollGap = 800 * time.Millisecond
 	// listShare is the share of the link and of the processor that reading the list of
-	// machines may take while orders are under way. The time between two reads grows to
-	// maxListGap for that.
+	// machines may take while orders are under way. The time between two reads grows for
+	// that, up to maxListGap.
 	listShare = 0.05
 	// listCPUPerMachine is the processor time that a list takes per machine: 1.1 us to
 	// decode, as much again for the call, and the comparison with the known state.
@@ -73,8 +73,8 @@
 	maxListGap        = 2 * time.Second
 )
 
-// Sizes of calls in bytes, with headers but without values and specifications, other than
-// fullStartBytes, which is a start with a usual specification.
+// Sizes of calls in bytes, with headers but without values and specifications. Exceptions are
+// fullStartBytes, a start with a usual specification, and machineBytes, a machine in a list.
 const (
 	startBytes     = 300
 	fullStartBytes = 800
@@ -103,7 +103,7 @@
 	// link is the capacity of the link, rate what the owner may send, both in bytes per
 	// second.
 	link, rate float64
-	// cores is how many cores the owner may use, also a fraction of one.
+	// cores is the processor capacity of the host in cores, which may be a fraction of one.
 	cores float64
 	// budget is how many bytes may be sent now. It falls below zero by calls that do not
 	// wait for it, such as polls, stops and writes.
--- a/job/world_again_test.go
+++ b/job/world_again_test.go
@@ -143,8 +143,8 @@
 
 // TestPromisesHoldWhenWorkersRestart has workers restart under their names: while partitioned,
 // several times, within their heartbeat interval and during orders, together with lost and late
-// messages, crashes and changes of owner. For each promise it was verified that the test finds a
-// fault planted against it (docs/PROMISES.md).
+// messages, crashes and changes of owner. It finds planted faults of the kind that each promise
+// guards against (docs/PROMISES.md).
 func TestPromisesHoldWhenWorkersRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorldOf(t, true)
