--- a/job/machines.go
+++ b/job/machines.go
@@ -16,8 +16,8 @@
 	// before it sends orders to machines.
 	firstOrderDelay = 300 * time.Millisecond
 	// evacuationDelay is how long a new owner evacuates no lasting tasks: a run that the
-	// previous owner stopped is still listed while it stops, for 0.4 s, and polls from
-	// before then must be out of date.
+	// previous owner stopped is still listed while it stops, which takes 0.4 s, and a poll
+	// from that time must not show the task as ready any more.
 	evacuationDelay = pollFreshFor + 600*time.Millisecond
 	// listEvery is the interval between reads of the list of machines while orders are under
 	// way, listIdleEvery otherwise.
