--- a/job/catchup.go
+++ b/job/catchup.go
@@ -8,24 +8,26 @@
 	"amberway/platform"
 )
 
-// Figures of catching up.
+// Limits of catching up.
 const (
-	// quickAnswer is how long an answer may take that leaves nothing of note behind it.
+	// quickAnswer is the time within which a watch has to be answered for the owner to
+	// count as caught up: hardly anything can have changed meanwhile.
 	quickAnswer = 100 * time.Millisecond
-	// maxCatchUpReads bounds the answers, where changes come as fast as they can be read.
+	// maxCatchUpReads bounds the number of watches where changes arrive as fast as they
+	// can be read.
 	maxCatchUpReads = 4
 )
 
-// catchUp adds what has changed of the jobs while all else was read, and returns the
-// revision from which to follow them. Over a narrow link that takes seconds, in which
-// callers have cancelled jobs whose tasks must not be started any more.
+// catchUp adds the changes of jobs that were made while the other lists were read, and
+// returns the revision from which to follow the jobs. Over a narrow link the lists take
+// seconds, and tasks of jobs that callers cancel meanwhile must not be started.
 func (o *owner) catchUp(ctx context.Context, e *Inherited, from platform.Revision) platform.Revision {
 	for range maxCatchUpReads {
 		sent := o.now()
 		l, next, err := o.KV.WatchLarge(ctx, jobsPrefix, from, time.Millisecond, jobsWatch.timeout)
 		if err != nil {
-			// They are followed from here, as without this.
-			o.log.Write(LogLine{What: "not caught up", Why: err.Error(), Fields: []any{"revision", int64(from)}})
+			// The changes arrive by the watch that starts at this revision.
+			o.log.Write(LogLine{What: "catch-up failed", Why: err.Error(), Fields: []any{"revision", int64(from)}})
 			return from
 		}
 		for _, v := range l {
--- a/job/currency.go
+++ b/job/config_sync.go
@@ -11,34 +11,36 @@
 	"amberway/common"
 )
 
-// An entry host that the store turns away asks the owner for the configuration: its
-// callers still reach it, with keys that may have been taken away and with new ones. What
-// the owner knows is as old as its own last word from the store, and counts as old here.
+// An entry host that cannot reach the store fetches the configuration from the owner:
+// callers still reach the host, with keys that may have been revoked or added since. The
+// configuration is as fresh as the owner's own last answer from the store, and the host
+// counts its age from then.
 
-// Figures of asking for the configuration.
+// Settings of fetching the configuration.
 const (
-	// configRetry is the pause between two questions: a configuration has to be in force
+	// configRetry is the pause between two requests: a configuration has to be in force
 	// within two to three seconds, of which a failed watch may have taken most.
 	configRetry = 250 * time.Millisecond
-	// headerAge tells how long ago the configuration was last known to be the newest, in
-	// milliseconds.
+	// headerAge is the header that tells how long ago the configuration was last known to
+	// be the newest, in milliseconds.
 	headerAge = "Amberway-Age"
-	// configPath is where entry hosts tell each other of the configuration.
+	// configPath is the path at which entry hosts serve the configuration to each other.
 	configPath = "/configuration"
 )
 
-// peerConfig is what another entry host knows of the configuration.
+// peerConfig is the answer of another entry host to a request for the configuration.
 type peerConfig struct {
-	// raw is the configuration where it is newer than the one asked about, else nil.
+	// raw is the configuration if it is newer than the requested version, else nil.
 	raw []byte
-	// currentAt is when it was last known to be the newest.
+	// currentAt is when the peer's configuration was last known to be the newest.
 	currentAt time.Time
 }
 
-// errNoConfig says that an entry host has had no word from the store yet.
-var errNoConfig = errors.New("the entry host does not know the configuration either")
+// errNoConfig reports that an entry host has not read a configuration yet.
+var errNoConfig = errors.New("the entry host has no configuration either")
 
-// followOwnerConfig asks the owner for the configuration whenever the store has not told of it.
+// followOwnerConfig fetches the owner's configuration whenever a request to the store for it
+// has failed.
 func (n *Node) followOwnerConfig(ctx context.Context) {
 	for {
 		select {
@@ -47,13 +49,13 @@
 		case <-n.configMissed:
 		}
 		if err := n.fetchConfig(ctx); err != nil {
-			n.log.Write(LogLine{What: "configuration not heard of", Why: err.Error(), Fields: []any{"age_ms", n.now().Sub(n.configCurrentAt.Get()).Milliseconds()}})
+			n.log.Write(LogLine{What: "configuration not fetched", Why: err.Error(), Fields: []any{"age_ms", n.now().Sub(n.configCurrentAt.Get()).Milliseconds()}})
 		}
 		common.Sleep(ctx, configRetry)
 	}
 }
 
-// fetchConfig takes the configuration that the owner has in force.
+// fetchConfig applies the configuration that the owner has in force.
 func (n *Node) fetchConfig(ctx context.Context) error {
 	o := n.election.owner()
 	if o.Name == "" || o.Name == n.settings.Name {
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// config asks another entry host for the configuration, if it is newer than the version.
+// config asks another entry host for its configuration if that is newer than the version.
 func (p *peers) config(ctx context.Context, o Owner, version int64, now func() time.Time) (peerConfig, error) {
 	sent := now()
 	r, err := p.ask(ctx, o, fmt.Sprint(configPath, "?after=", version))
@@ -95,9 +97,9 @@
 	return c, nil
 }
 
-// serveConfig tells another entry host of the configuration in force here.
+// serveConfig sends the configuration in force here to another entry host.
 func (n *Node) serveConfig(w http.ResponseWriter, r *http.Request) {
-	// The time goes before the configuration: what is told is no older than it says.
+	// The time is read before the configuration, so that the age is never understated.
 	currentAt := n.configCurrentAt.Get()
 	c := n.routes.Load()
 	if c == nil || currentAt.IsZero() {
--- a/job/core.go
+++ b/job/core.go
@@ -6,36 +6,37 @@
 	"amberway/platform"
 )
 
-// Core decides what runs where. It is pure: time is handed in with each event,
-// and what is to be done is handed out as actions.
+// Core decides what runs where. It does no I/O and reads no clock: Step takes the time
+// and an event, and returns the actions to perform.
 type Core struct {
 	now   time.Time
 	fence platform.Fence
-	// lastRun numbers the starts: above those of all earlier owners, whose
-	// fences were lower.
+	// lastRun is the number of the last run started. Run numbers are above those of all
+	// earlier owners, whose fences are lower.
 	lastRun int64
 	config  *platform.Deployed
 	queues  map[string]platform.Queue
 	teams   *teams
 	jobs    map[ID]*job
-	// cancelled are jobs whose cancelling was seen before their record.
+	// cancelled holds jobs whose cancel mark was seen before their record.
 	cancelled map[ID]bool
-	// active are the jobs that are not final.
+	// active holds the jobs that are not final.
 	active  map[ID]*job
 	workers map[platform.WorkerID]*worker
 	incarnations
-	// pools are the listed workers of each service.
+	// pools holds the listed workers of each service.
 	pools map[string][]*worker
-	// listedByHost is the listed worker on each machine, lives are all that are known.
+	// listedByHost holds the listed worker on each host, workersByHost all known workers
+	// there, one for each incarnation.
 	listedByHost  map[string]*worker
 	workersByHost map[string][]*worker
-	// dormantPools are the spare pools that no queue names.
+	// dormantPools holds the spare pools that no queue names.
 	dormantPools map[string]bool
-	// unconfigured are listed workers of services that the configuration does not name.
+	// unconfigured holds listed workers of services that the configuration does not name.
 	unconfigured map[platform.WorkerName]platform.Worker
-	// stalePools are the services whose pools are to be made anew, and byHost with them.
-	// Sorting all pools at each worker that came or went took 8 % of an owner's processor
-	// time at 3,000 workers.
+	// stalePools holds the services whose pools have to be rebuilt, along with
+	// listedByHost. Rebuilding all pools whenever a worker came or went took 8 % of an
+	// owner's CPU time at 3,000 workers.
 	stalePools map[string]bool
 	runTimes   map[string]*runTimeEstimate
 	takeover
@@ -45,17 +46,17 @@
 	flow         flowControl
 	admission    admissionState
 	nextForgetAt time.Time
-	// cutOffSince is when most workers fell silent.
+	// cutOffSince is when most workers stopped answering.
 	cutOffSince time.Time
 	actions     []Action
 }
 
-// runsPerFence is the most starts of one owner: run numbers are the fence times
-// this, plus a counter.
+// runsPerFence is the maximum number of runs that one owner starts: a run number is the
+// fence times this, plus a counter.
 const runsPerFence = 1 << 24
 
-// NewCore returns the state of an owner with the fence, on a host of the size, which knows
-// nothing yet.
+// NewCore returns the empty state of an owner with the fence, on a host of the size. The
+// holder names the owner in orders to machines.
 func NewCore(f platform.Fence, holder string, s Size, now time.Time) *Core {
 	return &Core{
 		now:           now,
@@ -83,11 +84,11 @@
 	}
 }
 
-// Step takes in one event and returns what is to be done.
+// Step applies one event and returns the actions to perform.
 func (c *Core) Step(now time.Time, e Event) []Action {
 	c.advanceTo(now)
 	if c.flow.advance(c.now) {
-		c.emit(LogLine{What: "sends less", Why: "answers come late", Fields: []any{"bytes_per_s", int(c.flow.rate), "on_way", c.flow.inFlight}})
+		c.emit(LogLine{What: "send rate reduced", Why: "answers arrive late", Fields: []any{"bytes_per_s", int(c.flow.rate), "on_way", c.flow.inFlight}})
 	}
 	e.apply(c)
 	c.rebuildPools()
@@ -102,7 +103,8 @@
 	c.actions = append(c.actions, a)
 }
 
-// apply lets time pass: due times of jobs, leases, looks and writes.
+// apply does what is due with time: instances of jobs, leases, polls, writes and orders
+// to machines.
 func (Tick) apply(c *Core) {
 	for _, j := range c.active {
 		c.addDueInstances(j)
@@ -122,17 +124,17 @@
 	c.reorderAll()
 }
 
-// apply does nothing: what is due is done after each event.
+// apply does nothing: Step places tasks and starts due writes after each event.
 func (Woken) apply(*Core) {}
 
-// apply takes in the events one after the other.
+// apply applies the events in order.
 func (e Batch) apply(c *Core) {
 	for _, v := range e {
 		v.apply(c)
 	}
 }
 
-// apply takes a configuration in force, unless a newer one is.
+// apply puts a configuration in force, unless a newer one already is.
 func (e ConfigChanged) apply(c *Core) {
 	if e.Config.Version < c.config.Version {
 		return
@@ -151,8 +153,8 @@
 	c.addConfigured()
 }
 
-// queueOf returns the job's queue as the configuration has it, or as it was
-// when the job came.
+// queueOf returns the job's queue from the configuration, or as it was when the job was
+// accepted.
 func (c *Core) queueOf(r Record) platform.Queue {
 	if q, ok := c.queues[r.Queue]; ok {
 		return q
@@ -215,7 +217,7 @@
 	return j
 }
 
-// addDueInstances makes those times of a job that have come due.
+// addDueInstances creates the instances of a job that have come due.
 func (c *Core) addDueInstances(j *job) {
 	if j.state.Final() {
 		return
@@ -238,7 +240,8 @@
 	}
 }
 
-// finishInstances drops the times that are done in whole, and ends a job that is done.
+// finishInstances drops the oldest instances whose tasks are all done, and completes a job
+// that has none left.
 func (c *Core) finishInstances(j *job) {
 	for k := j.oldestInstance; k < j.nextInstance; k++ {
 		n := j.instances[k]
@@ -254,7 +257,7 @@
 	}
 }
 
-// finalise brings a job to its final state and ends what still runs.
+// finalise sets the final state of a job and stops its runs.
 func (c *Core) finalise(j *job, s platform.State, why string) {
 	j.state = s
 	j.finalAt = c.now
@@ -281,7 +284,7 @@
 func (e CancelRequested) apply(c *Core) {
 	j := c.jobs[e.ID]
 	if j == nil {
-		// A list names the marks before the jobs.
+		// Lists are in the order of keys: cancel marks precede records.
 		c.cancelled[e.ID] = true
 		return
 	}
@@ -291,6 +294,6 @@
 	case j.storedState == j.state:
 		c.deleteCancelMark(e.ID)
 	default:
-		// The write of the final state takes the mark along.
+		// The write of the final state deletes the mark as well.
 	}
 }
--- a/job/elect.go
+++ b/job/elect.go
@@ -12,48 +12,48 @@
 	"amberway/platform"
 )
 
-// Times of ownership.
+// Settings of ownership.
 const (
-	// ownerTTL is the time to live of the owner's lease: the next owner takes
-	// over that long after the last has died. The store takes one second at
-	// least, and answers within a quarter of a second while it is slow.
+	// ownerTTL is the time to live of the owner's lease: after the owner has died, the
+	// next one takes over that much later. The store accepts no less than one second, and
+	// answers within a quarter of a second while it is slow.
 	ownerTTL = 1500 * time.Millisecond
-	// abstainFor is how long a host that could not reach the workers leaves
-	// ownership to others. Cuts last about six seconds.
+	// abstainFor is how long a host that could not reach the workers, or has become slow,
+	// does not claim ownership. Network partitions last about six seconds.
 	abstainFor = 5 * time.Second
-	// revokeTimeout is how long the end of a lease is tried: the store is away for
-	// five seconds at a time.
+	// revokeTimeout bounds the retries of revoking a lease: outages of the store last
+	// five seconds.
 	revokeTimeout = 6 * time.Second
-	// claimRetry is the pause after a claim that failed.
+	// claimRetry is the pause after a failed claim or revocation.
 	claimRetry = 200 * time.Millisecond
-	// smallHostDelay is how long a host with hardly any processor, link or memory leaves a
-	// claim to larger ones. A claim takes some ten milliseconds, and a third of the time
-	// to live of the owner's lease more is borne where no larger host lives.
+	// smallHostDelay is how much later the smallest host claims, so that a larger one may
+	// do so first. A claim takes some ten milliseconds. Where there is no larger host, the
+	// vacancy lasts longer by about a third of the lease's time to live.
 	smallHostDelay = 600 * time.Millisecond
-	// ownerCores is what an owner takes at its busiest: 0.4 of a core with 350
-	// workers and 300 starts a second. Hosts that have it claim at once.
+	// ownerCores is how many cores a busy owner uses: 0.4 with 350 workers and 300 starts
+	// a second. Hosts with that much claim at once.
 	ownerCores = 0.4
-	// ownerLinkMbps is the link that an owner fills at its busiest, in megabits a second:
-	// 1,000 starts a second, of 1.5 kB with the looks that bring their ends.
+	// ownerLinkMbps is the bandwidth that a busy owner uses, in megabits a second: 1,000
+	// starts a second of 1.5 kB each, including the polls that report their ends.
 	ownerLinkMbps = 12
-	// ownerMemoryMB is what an owner takes at its most, in megabytes: 126 with 372
+	// ownerMemoryMB is the most memory that an owner uses, in megabytes: 126 with 372
 	// workers, and room for the lists of a takeover.
 	ownerMemoryMB = 150
 )
 
-// Size is what a host has.
+// Size tells the resources of a host.
 type Size struct {
-	// Cores is how much of a core the host has.
+	// Cores is the number of cores, which may be a fraction.
 	Cores float64
-	// LinkMbps is what its link carries, in megabits a second, and Memory what a process
-	// may take, in megabytes; zero is not known.
+	// LinkMbps is the bandwidth of its link, in megabits a second, and MemoryMB what a
+	// process may use, in megabytes; zero means unknown.
 	LinkMbps, MemoryMB float64
-	// OrdersPerSecond is how many orders to machines the platform takes from all hosts
-	// together; zero is not known.
+	// OrdersPerSecond is how many orders to machines the platform accepts from all hosts
+	// together; zero means unknown.
 	OrdersPerSecond float64
 }
 
-// fitness is how far the host is up to owning, from 0 to 1.
+// fitness tells how much of a busy owner's load the host can carry, from 0 to 1.
 func (s Size) fitness() float64 {
 	f := min(1, s.Cores/ownerCores)
 	if s.LinkMbps > 0 {
@@ -65,31 +65,32 @@
 	return max(0, f)
 }
 
-// Owner tells who owns.
+// Owner names the entry host that is the owner.
 type Owner struct {
 	Name string         `json:"name"`
 	Peer netip.AddrPort `json:"peer"`
-	// Fence is the revision at which it took ownership.
+	// Fence is the revision at which it claimed ownership.
 	Fence platform.Fence `json:"-"`
 }
 
-// election keeps to who owns, and claims ownership when nobody does.
+// election tracks who the owner is, and claims ownership when it is vacant.
 type election struct {
 	kv   *platform.KV
 	self Owner
 	size Size
 	log  *Logger
 	now  func() time.Time
-	// suspended tells for how long the host has been suspended so far.
+	// suspended returns for how long the host has been suspended in total.
 	suspended func() time.Duration
 	mu        sync.Mutex
-	// current is the zero Owner while nobody owns.
+	// current is the zero Owner while ownership is vacant.
 	current Owner
-	// admission is what an owner last said of its queues, heard at fullAt.
+	// admission is the last admission policy of an owner, read at admissionAt.
 	admission   AdmissionPolicy
 	admissionAt time.Time
-	vacant      chan struct{}
-	// abstainUntil is when the host may claim again; retired says never.
+	// vacant wakes campaign when ownership becomes vacant.
+	vacant chan struct{}
+	// abstainUntil is when the host may claim again. A withdrawn host never does.
 	abstainUntil time.Time
 	withdrawn    bool
 }
@@ -98,13 +99,13 @@
 	return &election{kv: kv, self: self, size: s, log: log, now: now, suspended: suspended, vacant: make(chan struct{}, 1)}
 }
 
-// claimAt returns when the host may claim what has become vacant now: the
-// smaller it is, the longer it leaves that to others.
+// claimAt returns when the host may claim ownership that is vacant now: the smaller the
+// host, the later.
 func (e *election) claimAt(now time.Time) time.Time {
 	return now.Add(time.Duration((1 - e.size.fitness()) * float64(smallHostDelay)))
 }
 
-// owner returns who owns as far as is known; its name is "" if nobody does.
+// owner returns the last known owner; its name is "" while ownership is vacant.
 func (e *election) owner() Owner {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// follow keeps current until the context ends.
+// follow keeps the current owner up to date until the context ends.
 func (e *election) follow(ctx context.Context) {
 	f := &follower{kv: e.kv, prefix: ownerKey, watchTimes: ownerWatch, log: e.log}
 	f.onList = func(l []platform.Entry) {
@@ -153,7 +154,7 @@
 	f.run(ctx)
 }
 
-// apply takes in what a key under the owner's says.
+// apply applies an entry whose key begins with the owner's key.
 func (e *election) apply(v platform.Entry) {
 	switch v.Key {
 	case ownerKey:
@@ -163,7 +164,7 @@
 	}
 }
 
-// applyOwner notes who owns.
+// applyOwner applies the entry of the owner's key.
 func (e *election) applyOwner(v platform.Entry) {
 	var o Owner
 	if err := json.Unmarshal(v.Value, &o); err != nil {
@@ -174,14 +175,14 @@
 	e.setOwner(o)
 }
 
-// abstain leaves ownership to others for a while.
+// abstain keeps this host from claiming ownership for a while.
 func (e *election) abstain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.abstainUntil = e.now().Add(abstainFor)
 }
 
-// withdraw leaves ownership to others for good.
+// withdraw keeps this host from claiming ownership ever again.
 func (e *election) withdraw() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -194,13 +195,15 @@
 	return e.withdrawn
 }
 
+// abstainLeft returns how long the host still abstains; zero or less means not any more.
 func (e *election) abstainLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.abstainUntil.Sub(e.now())
 }
 
-// campaign returns a tenure once this host owns, or false when the context ends.
+// campaign claims ownership whenever it is vacant. It returns a tenure once this host is the
+// owner, or false when the context ends or the host has withdrawn.
 func (e *election) campaign(ctx context.Context) (tenure, bool) {
 	for ctx.Err() == nil {
 		select {
@@ -233,7 +236,7 @@
 	return tenure{}, false
 }
 
-// claim creates the owner's key under a new lease.
+// claim creates the owner's key with a new lease.
 func (e *election) claim(ctx context.Context) (tenure, error) {
 	since, suspended := e.now(), e.suspended()
 	lease, err := e.kv.Grant(ctx, ownerTTL)
@@ -259,8 +262,9 @@
 	return tenure{fence: platform.Fence(at), lease: lease, since: since, suspended: suspended}, nil
 }
 
-// revokeLease gives up a lease, with the owner's key if it has one. It tries for
-// as long as the lease may last: leases wait while the store is away.
+// revokeLease revokes a lease, and with it deletes the owner's key if it is under the lease.
+// It retries for as long as the lease may last: leases do not expire while the store is
+// down.
 func (e *election) revokeLease(ctx context.Context, l platform.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
@@ -269,7 +273,7 @@
 		if err == nil || errors.Is(err, platform.ErrNotFound) {
 			return
 		}
-		e.log.Write(LogLine{What: "lease not ended", Why: err.Error()})
+		e.log.Write(LogLine{What: "lease not revoked", Why: err.Error()})
 		common.Sleep(ctx, claimRetry)
 		if ctx.Err() != nil {
 			return
--- a/job/events.go
+++ b/job/events.go
@@ -6,42 +6,42 @@
 	"amberway/platform"
 )
 
-// Event is something that the owner has learned.
+// Event is an input of Core: something that the owner has learned.
 type Event interface {
 	apply(c *Core)
 }
 
-// JobAccepted says that the store holds a new job.
+// JobAccepted reports that the store holds a new job.
 type JobAccepted struct {
 	ID      ID
 	Record  Record
 	Created platform.Revision
 }
 
-// CancelRequested says that a caller has cancelled a job.
+// CancelRequested reports that a caller has cancelled a job.
 type CancelRequested struct {
 	ID ID
 }
 
-// ConfigChanged says that a configuration is in force.
+// ConfigChanged reports a configuration that is in force.
 type ConfigChanged struct {
 	Config *platform.Deployed
 }
 
-// WorkerListed says that the store holds a worker's record.
+// WorkerListed reports that the store holds a worker's record.
 type WorkerListed struct {
 	Worker platform.Worker
 }
 
-// WorkerUnlisted says that the record under a worker's name has gone from the store.
+// WorkerUnlisted reports that the record under a worker's name was deleted from the store.
 type WorkerUnlisted struct {
 	Name platform.WorkerName
 }
 
-// WorkerList is the whole list of workers.
+// WorkerList reports all workers that have a record in the store.
 type WorkerList []platform.Worker
 
-// PollResult is the outcome of a LookAt.
+// PollResult is the outcome of a PollWorker.
 type PollResult struct {
 	Worker    platform.WorkerID
 	SentAt    time.Time
@@ -71,50 +71,50 @@
 	Err       error
 }
 
-// WriteResult says whether the store has taken what a Keep holds.
+// WriteResult is the outcome of a WriteStore.
 type WriteResult struct {
 	Number int64
-	// Revision is the revision of the write, unless it failed.
+	// Revision is the revision of the write if it succeeded.
 	Revision platform.Revision
 	Err      error
 }
 
-// WriteSlow says that the store has not answered the write under way.
+// WriteSlow reports that the store has not answered the write in flight.
 type WriteSlow struct{}
 
-// LeaseRenewed says that the store has renewed the owner's lease at a call that was
-// sent at the time: until then nobody else has owned.
+// LeaseRenewed reports that the store has renewed the owner's lease. The renewal was sent
+// at SentAt: up to then nobody else can have been the owner.
 type LeaseRenewed struct {
 	SentAt time.Time
 }
 
-// Tick says only that time has passed.
+// Tick reports the passing of time.
 type Tick struct{}
 
-// Woken says that the time of a WakeAt has come.
+// Woken reports that the time of a WakeAt has come.
 type Woken struct{}
 
-// Batch is some events in order.
+// Batch holds several events, to be applied in order.
 type Batch []Event
 
-// Action is something that the owner is to do.
+// Action is an output of Core: something for the owner to do.
 type Action interface {
 	action()
 }
 
-// PollWorker asks a worker what runs and has ended there.
+// PollWorker asks a worker which runs are running or have ended there.
 type PollWorker struct {
 	Worker platform.Worker
 	Order  platform.PollOrder
 }
 
-// StartRun orders a run.
+// StartRun orders a worker to start a run.
 type StartRun struct {
 	Worker platform.Worker
 	Order  platform.StartOrder
 }
 
-// StopRun orders the end of a run.
+// StopRun orders a worker to stop a run.
 type StopRun struct {
 	Worker platform.Worker
 	Task   string
@@ -122,7 +122,7 @@
 	Fence  platform.Fence
 }
 
-// PaceRun sets the share at which a run works.
+// PaceRun sets the percentage of its full speed at which a run works.
 type PaceRun struct {
 	Worker  platform.Worker
 	Task    string
@@ -131,25 +131,24 @@
 	Fence   platform.Fence
 }
 
-// WriteStore writes to the store, under the condition that the owner is still the
-// owner.
+// WriteStore writes to the store, on condition that the owner has not been replaced.
 type WriteStore struct {
 	Number  int64
 	Puts    []platform.Put
 	Deletes []string
 }
 
-// WakeAt asks for a Woken event at the time.
+// WakeAt requests a Woken event at a time.
 type WakeAt struct {
 	At time.Time
 }
 
-// StepDown ends the ownership, since another owner has come.
+// StepDown ends the ownership.
 type StepDown struct {
 	Why string
 }
 
-// LogLine is a line for the log.
+// LogLine is a line of the log.
 type LogLine struct {
 	What   string
 	Job    ID
@@ -157,7 +156,7 @@
 	Run    int64
 	Worker platform.WorkerID
 	Why    string
-	// Fields are the figures that decided, as name and value by turns.
+	// Fields holds the values behind the decision, as alternating names and values.
 	Fields []any
 }
 
--- a/job/follow.go
+++ b/job/follow.go
@@ -9,61 +9,61 @@
 	"amberway/platform"
 )
 
-// Times of following the store.
+// Settings of following the store.
 const (
-	// maxWatchWait is the longest that one watch waits, and watchKnown the longest
-	// until it is known whether the store answers: a node that hears nothing of it for
-	// readyWithout calls itself not ready.
+	// maxWatchWait is the longest wait of a watch, maxWatchTimeout the longest time until
+	// a watch has either been answered or failed: a node that has no answer from the store
+	// for maxStoreSilence reports itself as not ready.
 	maxWatchWait    = 2 * maxStoreSilence / 3
 	maxWatchTimeout = 9 * maxStoreSilence / 10
 	// followRetry is the pause after a list or watch that failed.
 	followRetry = 150 * time.Millisecond
 )
 
-// watchTimes are the times of one watch.
+// watchTimes bounds one watch.
 type watchTimes struct {
 	// wait is how long the store is asked to wait for a change.
 	wait time.Duration
-	// timeout is when the watch has failed. A kept connection that brings nothing in
-	// half of the time beyond the wait is silent, and a new one has the other half:
-	// whatever became of the first, a change is known by then.
+	// timeout is when the watch has failed. A kept connection that is silent for half of
+	// the time beyond the wait is given up, and a new one has the other half: even if the
+	// first connection is dead, changes arrive within the timeout.
 	timeout time.Duration
 }
 
-// Bounds of watches, each by what the watch protects.
+// Times of watches, by what depends on the watch.
 var (
 	// ownerWatch is for the owner's key. A host that learns late of a vacancy
-	// claims late; the lease of an owner that has died takes as long to end.
+	// claims late; the lease of an owner that has died takes as long to expire.
 	ownerWatch = watchTimes{wait: ownerTTL, timeout: 2 * ownerTTL}
-	// jobsWatch is for the jobs and workers of an owner: what a silent connection
-	// holds up is known within the time in which another would own. While jobs
-	// come, a watch answers sooner anyway.
+	// jobsWatch is for the owner's view of jobs and workers: a silent connection delays
+	// changes by no longer than it takes another host to become the owner. While jobs
+	// arrive, a watch is answered sooner anyway.
 	jobsWatch = watchTimes{wait: ownerTTL / 3, timeout: ownerTTL}
 )
 
-// configWatch is for the configuration, which has to be in force within a time of
-// its acknowledgement. A tenth of that is left for taking it in.
+// configWatch returns the times for the configuration, which has to be in force within
+// inForce of its acknowledgement. A tenth of that is left for applying it.
 func configWatch(inForce time.Duration) watchTimes {
 	return watchTimes{wait: min(inForce/2, maxWatchWait), timeout: min(9*inForce/10, maxWatchTimeout)}
 }
 
-// follower keeps up with all keys under a prefix.
+// follower follows all keys under a prefix, by a list and then by watches.
 type follower struct {
 	kv     *platform.KV
 	prefix string
 	watchTimes
-	// gather is the pause after changes, so that one watch brings several.
+	// gather is the pause after changes, so that the next watch returns several at once.
 	gather time.Duration
-	// newestOnly says that only the newest value of each key counts, and values are large:
-	// where a watch brings some of one key, the rest is listed instead.
+	// newestOnly is for large values of which only the newest of each key counts: if a
+	// watch fails, or returns several values of a key, the keys are listed instead.
 	newestOnly bool
 	log        *Logger
-	// onList takes all entries; it is called at the start and again whenever
-	// the history was lost.
+	// onList is called with all entries at the start, and again whenever the history is
+	// compacted or may be too long to read.
 	onList func([]platform.Entry)
-	// onChange takes changes in order.
+	// onChange is called with changes in order.
 	onChange func([]platform.Event)
-	// onAnswer is called after each answer of the store, with its error.
+	// onAnswer is called after each list or watch, with its error or nil.
 	onAnswer func(error)
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// list reads all entries. It returns the revision from which to watch, and the newest of
-// the entries'.
+// list reads all entries. It returns the revision from which to watch, and the newest
+// revision among the entries.
 func (f *follower) list(ctx context.Context) (at, newest platform.Revision, ok bool) {
 	l, at, err := f.kv.List(ctx, f.prefix)
 	f.noteAnswer(ctx, err)
@@ -93,43 +93,44 @@
 	return at, newest, true
 }
 
-// listUntilStable lists until nothing has changed between two lists, and returns the revision from
-// which to watch. A list brings one value of each key, whatever was written meanwhile.
+// listUntilStable lists until nothing has changed between two lists, and returns the
+// revision from which to watch. However often a key is written meanwhile, a list returns one
+// value of it, where a watch would return all.
 func (f *follower) listUntilStable(ctx context.Context) (platform.Revision, bool) {
-	before := platform.Revision(-1)
+	last := platform.Revision(-1)
 	for {
 		at, newest, ok := f.list(ctx)
-		if !ok || newest == before {
+		if !ok || newest == last {
 			return at, ok
 		}
-		before = newest
+		last = newest
 	}
 }
 
 // hasSuperseded reports whether one of the changes replaces an earlier one.
 func hasSuperseded(l []platform.Event) bool {
-	there := map[string]bool{}
+	seen := map[string]bool{}
 	for _, e := range l {
-		if there[e.Key] {
+		if seen[e.Key] {
 			return true
 		}
-		there[e.Key] = true
+		seen[e.Key] = true
 	}
 	return false
 }
 
-// watch follows from the revision until the history is gone, or reports that changes may
-// come faster than they can be read.
+// watch follows the changes from the revision. It returns false when the context ends or the
+// history is compacted, and true when changes may arrive faster than they can be read.
 func (f *follower) watch(ctx context.Context, at platform.Revision) (behind bool) {
 	for ctx.Err() == nil {
 		l, next, err := f.watchOnce(ctx, at)
 		f.noteAnswer(ctx, err)
 		switch {
 		case errors.Is(err, platform.ErrCompacted):
-			f.log.Write(LogLine{What: "history lost", Why: "list anew", Fields: []any{"prefix", f.prefix, "revision", int64(at)}})
+			f.log.Write(LogLine{What: "watch history compacted", Why: "listing again", Fields: []any{"prefix", f.prefix, "revision", int64(at)}})
 			return false
 		case err != nil && f.newestOnly:
-			// What has changed may be too much to be read in time, and grows.
+			// The changes may be too many to read in time, and their number grows.
 			common.Sleep(ctx, followRetry)
 			return true
 		case err != nil:
--- a/job/journal.go
+++ b/job/logger.go
@@ -11,37 +11,37 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// logRate and logBurst bound the lines of one kind: a start, and an end, for
-	// each of some two hundred tasks a second. Each kind has bounds of its own,
-	// so that a burst of starts leaves out no change of an owner.
+	// logRate, in lines a second, and logBurst limit the lines of one kind: enough for a
+	// start and an end of each of some two hundred tasks a second. Each kind has its own
+	// limit, so that a burst of starts does not drop the line of a change of owner.
 	logRate  = 200
 	logBurst = 400
-	// dropReportEvery is how often the lines that were left out are told.
+	// dropReportEvery is the interval at which dropped lines are reported.
 	dropReportEvery = time.Second
-	// logBuffer is how many lines may wait for a reader.
+	// logBuffer is how many lines may wait to be written.
 	logBuffer = 2000
 )
 
-// Logger writes the log, one line for each decision. It never blocks: lines
-// beyond its bounds, or that nobody reads, are counted instead.
+// Logger writes the log, one line for each decision. It never blocks: lines beyond its
+// limits, or that find the buffer full, are dropped and counted.
 type Logger struct {
 	logger *logrus.Logger
 	lines  chan line
-	// dropped counts all lines that were left out.
+	// dropped counts all dropped lines.
 	dropped atomic.Int64
 	now     func() time.Time
 	mu      sync.Mutex
 	kinds   map[string]*logKind
-	// flushed is closed once what waited at the end is written.
+	// flushed is closed once the lines that waited at the end are written.
 	flushed chan struct{}
 }
 
-// logKind is what the journal keeps of one kind of line.
+// logKind is the state of one kind of line.
 type logKind struct {
 	limiter *rate.Limiter
-	// unreported counts the lines left out since that was last told.
+	// unreported counts the lines dropped since the last report.
 	unreported int64
 }
 
@@ -50,8 +50,8 @@
 	LogLine
 }
 
-// NewLogger returns a journal that writes to the logger until done is closed, and then
-// what waits by then.
+// NewLogger returns a Logger that writes to l until done is closed, and then the lines that
+// still wait.
 func NewLogger(l *logrus.Logger, now func() time.Time, done <-chan struct{}) *Logger {
 	j := &Logger{
 		logger:  l,
@@ -80,7 +80,7 @@
 	j.dropped.Add(1)
 }
 
-// kind returns what is kept of a kind of line.
+// kind returns the state of a kind of line.
 func (j *Logger) kind(what string) *logKind {
 	k := j.kinds[what]
 	if k == nil {
@@ -100,13 +100,13 @@
 	}
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns how many lines were dropped.
 func (j *Logger) Dropped() int64 {
 	return j.dropped.Load()
 }
 
-// Flush waits until what was queued before the end is written, or until the time has
-// passed, as nobody may read the log.
+// Flush waits until the lines that were queued before done was closed are written. It gives
+// up after the time, since nobody may read the log.
 func (j *Logger) Flush(within time.Duration) {
 	select {
 	case <-j.flushed:
@@ -114,7 +114,7 @@
 	}
 }
 
-// flush writes the lines that wait, and which were left out.
+// flush writes the lines that wait, and a report of dropped lines.
 func (j *Logger) flush() {
 	for len(j.lines) > 0 {
 		j.print(<-j.lines)
@@ -143,8 +143,7 @@
 	}
 }
 
-// droppedLines returns a line for each kind of which lines were left out since the last
-// call.
+// droppedLines returns a line for each kind of which lines were dropped since the last call.
 func (j *Logger) droppedLines() []line {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -154,7 +153,7 @@
 		if k.unreported == 0 {
 			continue
 		}
-		l = append(l, line{at: j.now(), LogLine: LogLine{What: "log lines left out", Why: what, Fields: []any{"lines", k.unreported}}})
+		l = append(l, line{at: j.now(), LogLine: LogLine{What: "log lines dropped", Why: what, Fields: []any{"lines", k.unreported}}})
 		k.unreported = 0
 	}
 	return l
--- a/job/journal_test.go
+++ b/job/logger_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// syncBuffer is a buffer that a journal writes while a test reads.
+// syncBuffer is a buffer that a Logger writes while a test reads.
 type syncBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -30,7 +30,7 @@
 	return b.Buffer.String()
 }
 
-// A takeover comes with a burst of starts. The lines that tell of it must be there.
+// A takeover comes with a burst of starts. The lines about the takeover must not be dropped.
 func TestBurstOfOneKindDropsNoOtherKind(t *testing.T) {
 	var out syncBuffer
 	l := logrus.New()
@@ -43,11 +43,11 @@
 	j.Write(LogLine{What: "takes over"})
 	require.Eventually(t, func() bool { return strings.Contains(out.String(), "takes over") }, time.Second, time.Millisecond)
 	require.Positive(t, j.Dropped())
-	require.Eventually(t, func() bool { return strings.Contains(out.String(), "log lines left out") }, 3*dropReportEvery, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(out.String(), "log lines dropped") }, 3*dropReportEvery, time.Millisecond)
 	require.Contains(t, out.String(), "why=start")
 }
 
-// Nobody reads the log: writing goes on, and counts.
+// While nobody reads the log, writing does not block and counts the dropped lines.
 func TestUnreadLogDoesNotBlock(t *testing.T) {
 	r, w := io.Pipe()
 	t.Cleanup(func() { _ = r.Close() })
@@ -60,9 +60,8 @@
 	require.Positive(t, j.Dropped())
 }
 
-// TestLastLinesAreWrittenAtShutdown tells of a daemon that ended before the lines of its stop
-// were written: of eight planned stops on one day none left "stopped" in the log, so that
-// nothing told what a stop had met.
+// A daemon that exits before the Logger has written its buffer loses the last lines, which
+// tell how the stop went: after eight planned stops none had left "stopped" in the log.
 func TestLastLinesAreWrittenAtShutdown(t *testing.T) {
 	var b syncBuffer
 	l := logrus.New()
--- a/job/node.go
+++ b/job/node.go
@@ -13,14 +13,14 @@
 	"amberway/platform"
 )
 
-// maxStoreSilence is how long a node stays ready without answers of the store. A
-// watch answers well within it, also where its connection has gone silent.
+// maxStoreSilence is how long a node stays ready without an answer from the store. A
+// watch is answered well within it, even if its connection has gone silent.
 const maxStoreSilence = 3 * time.Second
 
-// Settings are what a node is told at its start.
+// Settings configures a node.
 type Settings struct {
 	Name string
-	// DataCentre is where the host stands.
+	// DataCentre is the data centre of the host.
 	DataCentre string
 	// Peer is the address for other entry hosts.
 	Peer netip.AddrPort
@@ -28,16 +28,16 @@
 	// ConfigWithin is the time from the acknowledgement of a configuration until it
 	// has to be in force here; zero is DefaultConfigWithin.
 	ConfigWithin time.Duration
-	// KeysWithin is how long a team's key that was taken away may go on working; zero is
-	// no bound, and says that callers need keys only where the configuration has teams.
+	// KeysWithin is how long a revoked key of a team may still be accepted. Zero means no
+	// limit, and that callers need keys only where the configuration has teams.
 	KeysWithin time.Duration
 }
 
-// DefaultConfigWithin is what platforms have asked for so far.
+// DefaultConfigWithin is the limit that platforms have required so far.
 const DefaultConfigWithin = 2 * time.Second
 
-// Node is the jobs' part of one entry host: it takes jobs in, tells of them,
-// and owns them all when it is its turn.
+// Node handles the jobs of one entry host: it accepts jobs, tells their state, and is the
+// owner of all jobs while it holds the owner's lease.
 type Node struct {
 	Clients
 	settings       Settings
@@ -52,10 +52,11 @@
 	peers          *peers
 	leaving        atomic.Bool
 	authorizer     authorizer
-	// storeAnsweredAt is when the store last answered, currentAt when the configuration was last
-	// known to be the newest, by the store or by another entry host.
+	// storeAnsweredAt is when the store last answered, configCurrentAt when the
+	// configuration was last known to be the newest, from the store or another entry host.
 	storeAnsweredAt, configCurrentAt common.Instant
-	// configMissed says that the store has just not told of the configuration.
+	// configMissed wakes followOwnerConfig when a request to the store for the
+	// configuration has failed.
 	configMissed chan struct{}
 	refusals     *refusals
 	mu           sync.Mutex
@@ -63,9 +64,9 @@
 	resign       context.CancelFunc
 }
 
-// NewNode returns a node that has not started yet. It serves its metrics by the
+// NewNode returns a node, which Run starts. Other entry hosts read its metrics from the
 // handler.
-func NewNode(s Settings, p Clients, log *Logger, d common.Deps, exposed http.Handler) (*Node, error) {
+func NewNode(s Settings, p Clients, log *Logger, d common.Deps, metricsHandler http.Handler) (*Node, error) {
 	now := d.Now
 	if s.ConfigWithin == 0 {
 		s.ConfigWithin = DefaultConfigWithin
@@ -75,7 +76,7 @@
 	n.election = newElection(p.KV, Owner{Name: s.Name, Peer: s.Peer}, s.Size, log, now, d.Suspended)
 	n.intake = newIntake(p.KV, log, now)
 	n.speed = newSpeedMonitor(now)
-	n.metricsHandler = exposed
+	n.metricsHandler = metricsHandler
 	conns := append(p.connections(), n.peers.exchange.Connections())
 	common.Join(conns...)
 	if err := observeTraffic(d.Meter, conns); err != nil {
@@ -86,7 +87,7 @@
 	return n, err
 }
 
-// Run works until the context ends.
+// Run runs the node until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){n.followOperator, n.followOwnerConfig, n.election.follow, n.intake.run, n.ownWhenVacant} {
@@ -95,12 +96,12 @@
 	wg.Wait()
 }
 
-// Callers serves callers' requests.
+// Callers returns the handler of callers' requests.
 func (n *Node) Callers() http.Handler {
 	return callerHandler{node: n}
 }
 
-// Peers serves other entry hosts.
+// Peers returns the handler of requests from other entry hosts.
 func (n *Node) Peers() http.Handler {
 	return n.peerMux()
 }
@@ -113,7 +114,8 @@
 	return n.now().Sub(n.storeAnsweredAt.Get()) < maxStoreSilence
 }
 
-// Leave hands ownership on and has callers sent elsewhere.
+// Leave gives up ownership for good and reports the node as not ready, so that callers are
+// sent elsewhere.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	n.election.withdraw()
@@ -124,10 +126,10 @@
 	}
 }
 
-// followOperator keeps the configuration in force, and tells the owner of it
-// and of waves.
+// followOperator follows what operators write: it puts configurations in force, and tells
+// an owner here of configurations and waves.
 func (n *Node) followOperator(ctx context.Context) {
-	take := func(e platform.Entry) {
+	apply := func(e platform.Entry) {
 		if e.Key == platform.ConfigKey {
 			n.applyConfig(e.Value)
 		} else {
@@ -141,20 +143,20 @@
 	}
 	f.onList = func(l []platform.Entry) {
 		for _, e := range l {
-			take(e)
+			apply(e)
 		}
 	}
 	f.onChange = func(l []platform.Event) {
 		for _, e := range l {
 			if !e.Deleted {
-				take(e.Entry)
+				apply(e.Entry)
 			}
 		}
 	}
 	f.run(ctx)
 }
 
-// noteAnswer notes whether the store has told of the configuration.
+// noteAnswer notes whether a request to the store for the configuration has succeeded.
 func (n *Node) noteAnswer(err error) {
 	now := n.now()
 	switch {
@@ -162,7 +164,7 @@
 		n.storeAnsweredAt.Set(now)
 		n.configCurrentAt.Advance(now)
 	case errors.Is(err, platform.ErrCompacted):
-		// The store answers, and the list that follows tells what has changed.
+		// The store answers; the list that follows tells whether the configuration changed.
 		n.storeAnsweredAt.Set(now)
 	default:
 		select {
@@ -172,16 +174,16 @@
 	}
 }
 
-// applyConfig puts a configuration in force, as the operator wrote it, unless it is older
-// than the one that is.
-func (n *Node) applyConfig(written []byte) {
-	d, err := platform.DecodeConfig(written)
+// applyConfig puts a configuration in force, given as the operator wrote it, unless one as
+// new already is.
+func (n *Node) applyConfig(raw []byte) {
+	d, err := platform.DecodeConfig(raw)
 	if err != nil {
 		n.log.Write(LogLine{What: "configuration not understood", Why: err.Error()})
 		return
 	}
 	r := newRoutes(d)
-	r.written = written
+	r.written = raw
 	if !n.swapRoutes(r) {
 		return
 	}
@@ -189,8 +191,8 @@
 	n.tellOwner(ConfigChanged{Config: d})
 }
 
-// swapRoutes reports false where a configuration as new is in force: two come at once,
-// from the store and from another entry host.
+// swapRoutes puts the routes of a configuration in force. It reports false if one as new
+// already is: the store and another entry host may both provide it.
 func (n *Node) swapRoutes(r *routes) bool {
 	for {
 		o := n.routes.Load()
@@ -221,7 +223,8 @@
 	}
 }
 
-// ownWhenVacant claims ownership whenever nobody has it, and owns while it can.
+// ownWhenVacant claims ownership whenever it is vacant, and acts as the owner for as long as
+// it lasts.
 func (n *Node) ownWhenVacant(ctx context.Context) {
 	for ctx.Err() == nil && !n.leaving.Load() {
 		t, ok := n.election.campaign(ctx)
@@ -232,8 +235,9 @@
 	}
 }
 
+// runTenure runs an owner until the ownership ends.
 func (n *Node) runTenure(ctx context.Context, t tenure) {
-	own, cancel := context.WithCancel(ctx)
+	tenureCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o := newOwner(n.Clients, n.log, n.now, n.election.suspended, n.settings, t, n.speed, n.metrics)
 	n.mu.Lock()
@@ -244,7 +248,7 @@
 	if r := n.routes.Load(); r != nil {
 		d = r.config
 	}
-	why := o.run(own, d)
+	why := o.run(tenureCtx, d)
 	n.mu.Lock()
 	n.owner, n.resign = nil, nil
 	n.mu.Unlock()
@@ -255,7 +259,7 @@
 	go n.election.revokeLease(ctx, t.lease)
 }
 
-// localOwner returns the owner that runs here, or nil.
+// localOwner returns the owner that runs on this host, or nil.
 func (n *Node) localOwner() *owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/job/owner.go
+++ b/job/owner.go
@@ -11,36 +11,36 @@
 	"amberway/platform"
 )
 
-// Times of an owner.
+// Settings of an owner.
 const (
-	// tickEvery is how often time alone is looked at.
+	// tickEvery is the interval of Tick events.
 	tickEvery = 50 * time.Millisecond
-	// renewEvery is how often the owner's lease is renewed: four times in its
+	// renewEvery is the interval at which the owner's lease is renewed: four times in its
 	// time to live.
 	renewEvery = ownerTTL / 4
 	// renewTimeout bounds one renewal. Half of it goes to a kept connection, the rest to
-	// a new one. Renewals go out each renewEvery, whether or not the last was answered,
-	// each on a connection of its own, so that the lease is renewed before it ends also
-	// where a silent connection costs one of them its first half. A shorter half took
-	// the answers that a full link held up for silence: each of them cost a new
-	// connection, which waited behind as much.
+	// a new one. A renewal is sent each renewEvery, whether or not the last was answered,
+	// on a connection of its own, so that the lease is renewed in time even if a silent
+	// connection costs one of them its first half. A shorter half would take answers that
+	// a full link delays for silence: each of them cost a new connection, which was
+	// delayed as much.
 	renewTimeout = 4 * ownerTTL / 5
-	// maxSuspended is how long an owner's host may have been suspended in all: what is
-	// given on workers' leases by a clock that is so far behind is within the half second
-	// that inheritedLease bears.
+	// maxSuspended is the longest total time for which an owner's host may have been
+	// suspended. The owner's clock is behind by as much, so that it extends leases of
+	// workers for too long; inheritedLease allows for half a second of that.
 	maxSuspended = 300 * time.Millisecond
-	// maxBatch is the most events that are taken in before tasks are placed.
+	// maxBatch is the most events that are applied before tasks are placed.
 	maxBatch = 256
-	// stepEvery is the least time between two steps. Events that come closer
-	// together are taken in together: an owner of 350 workers gets 1,500 a
-	// second, and a job has some hundred milliseconds to spare.
+	// stepEvery is the minimum time between two steps. Events that arrive within it are
+	// applied together: an owner of 350 workers gets 1,500 events a second, and some
+	// hundred milliseconds do not matter to a job.
 	stepEvery = 4 * time.Millisecond
 )
 
 // eventBuffer is how many events may wait for the owner.
 const eventBuffer = 4096
 
-// Clients are the interfaces of the platform that an owner calls.
+// Clients are the clients of the platform's services that an owner calls.
 type Clients struct {
 	KV       *platform.KV
 	Workers  *platform.Workers
@@ -48,7 +48,7 @@
 	Advice   *platform.Advice
 }
 
-// connections returns those of the clients that there are.
+// connections returns the connections of those clients that are set.
 func (p Clients) connections() []*common.Connections {
 	var l []*common.Connections
 	if p.KV != nil {
@@ -66,38 +66,38 @@
 	return l
 }
 
-// owner runs a Core: it feeds it events and does what it says.
+// owner runs a Core: it passes events to it and performs its actions.
 type owner struct {
 	Clients
 	log *Logger
 	now func() time.Time
-	// suspended tells for how long the host has been suspended so far.
+	// suspended returns for how long the host has been suspended in total.
 	suspended func() time.Duration
 	events    chan Event
 	tenure    tenure
-	// linkMbps is what the host's link carries, in megabits a second; zero is not known.
+	// linkMbps is the bandwidth of the host's link, in megabits a second; zero means unknown.
 	linkMbps float64
 	writer   storeWriter
 	speed    *speedMonitor
 	metrics  *metrics
-	// mu guards core, which callers' questions read.
+	// mu guards core, which callers' requests read.
 	mu   sync.Mutex
 	core *Core
-	// loaded says that core holds what the owner took over.
+	// loaded reports whether core holds the state that the owner took over.
 	loaded atomic.Bool
-	// renewedAt is when the last renewal was sent that the store has answered.
+	// renewedAt is when the last successful renewal was sent.
 	renewedAt    common.Instant
 	cancel       context.CancelFunc
 	resignOnce   sync.Once
 	resignReason string
 }
 
-// tenure is one ownership.
+// tenure is one period of ownership.
 type tenure struct {
 	fence platform.Fence
 	lease platform.LeaseID
 	since time.Time
-	// suspended is for how long the host had been suspended when it claimed.
+	// suspended is for how long the host had been suspended when it claimed ownership.
 	suspended time.Duration
 }
 
@@ -119,14 +119,14 @@
 	return o
 }
 
-// run owns until the ownership ends, and returns why it did.
+// run acts as the owner until the ownership ends, and returns the reason for its end.
 func (o *owner) run(ctx context.Context, config *platform.Deployed) string {
 	ctx, o.cancel = context.WithCancel(ctx)
 	defer o.cancel()
 	go o.renew(ctx)
 	inherited, from, err := o.loadWithRetry(ctx, config)
 	if err != nil {
-		return "cannot read what to take over: " + err.Error()
+		return "cannot read the state to take over: " + err.Error()
 	}
 	o.log.Write(LogLine{What: "takes over", Fields: []any{
 		"fence", int64(o.tenure.fence), "jobs", len(inherited.Jobs), "workers", len(inherited.Workers),
@@ -143,7 +143,7 @@
 	return o.resignReason
 }
 
-// loadDone follows what an owner takes over, and opens it to questions.
+// loadDone follows Inherited: from then on the owner answers requests about jobs.
 type loadDone struct {
 	o *owner
 }
@@ -152,7 +152,7 @@
 	e.o.loaded.Store(true)
 }
 
-// resign ends the ownership.
+// resign ends the ownership; the first reason counts.
 func (o *owner) resign(why string) {
 	o.resignOnce.Do(func() {
 		o.resignReason = why
@@ -160,12 +160,12 @@
 	})
 }
 
-// post hands an event to the loop.
+// post passes an event to the loop, and waits while the buffer is full.
 func (o *owner) post(e Event) {
 	o.events <- e
 }
 
-// send hands an event to the loop unless the ownership ends.
+// send passes an event to the loop unless the ownership ends.
 func (o *owner) send(ctx context.Context, e Event) {
 	select {
 	case o.events <- e:
@@ -196,8 +196,8 @@
 	}
 }
 
-// performAll does the actions while the owner may act, and ends the ownership once it may
-// not. It reports whether it still may.
+// performAll performs the actions while the owner may act, and ends the ownership once it
+// may not. It reports whether it still may.
 func (o *owner) performAll(ctx context.Context, l []Action) bool {
 	for _, a := range l {
 		if !o.mayAct() {
@@ -217,8 +217,8 @@
 	return why == ""
 }
 
-// lostAuthority returns why nothing may be sent any more, also after a pause of the
-// process or of its host; nothing while the owner may go on.
+// lostAuthority returns why the owner may not send anything any more, or "" while it may.
+// The process or its host may have been paused since the last check.
 func (o *owner) lostAuthority() string {
 	switch {
 	case o.suspendedFor() > maxSuspended:
@@ -229,7 +229,7 @@
 	return ""
 }
 
-// step takes in the event and those that wait behind it.
+// step applies the event and those that wait behind it, and returns the actions to perform.
 func (o *owner) step(e Event) []Action {
 	b := Batch{e}
 	for len(b) < maxBatch && len(o.events) > 0 {
@@ -240,15 +240,15 @@
 	return o.core.Step(o.now(), b)
 }
 
-// whySuspended is the reason of an owner whose host was suspended: the steady clock by
-// which its own lease, and those of workers, are judged stood still.
+// whySuspended is the reason of an owner whose host was suspended: meanwhile the monotonic
+// clock stood still, by which it reckons its own lease and those of workers.
 const whySuspended = "this host was suspended"
 
 // whyStoreUnreachable is the reason of an owner that the store has not answered in time.
-const whyStoreUnreachable = "the store has been away for too long"
+const whyStoreUnreachable = "the store has been unreachable for too long"
 
-// renew keeps the owner's lease, and ends the ownership when it is over or when
-// the store has been away for too long.
+// renew renews the owner's lease until the ownership ends. It resigns when the host has
+// become slow.
 func (o *owner) renew(ctx context.Context) {
 	t := time.NewTicker(renewEvery)
 	defer t.Stop()
@@ -257,7 +257,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			// An answer that is lost must not hold up the next renewal.
+			// A renewal whose answer is lost must not delay the next one.
 			go o.renewOnce(ctx)
 			o.speed.sample()
 			if o.speed.slow() {
@@ -267,6 +267,7 @@
 	}
 }
 
+// renewOnce renews the owner's lease, and resigns if it has expired.
 func (o *owner) renewOnce(ctx context.Context) {
 	sent := o.now()
 	call, cancel := context.WithTimeout(ctx, renewTimeout)
@@ -275,7 +276,7 @@
 	switch {
 	case ctx.Err() != nil:
 	case errors.Is(err, platform.ErrNotFound):
-		o.resign("its lease is over")
+		o.resign("its lease has expired")
 	case err == nil:
 		o.renewedAt.Advance(sent)
 		o.send(ctx, LeaseRenewed{SentAt: sent})
@@ -284,13 +285,12 @@
 	}
 }
 
-// suspendedFor is for how long the host was suspended since this ownership was claimed.
+// suspendedFor returns for how long the host was suspended since it claimed ownership.
 func (o *owner) suspendedFor() time.Duration {
 	return o.suspended() - o.tenure.suspended
 }
 
-// sinceRenewal is how long ago at most the last renewal was sent that the store has
-// answered.
+// sinceRenewal returns how long ago at most the last successful renewal was sent.
 func (o *owner) sinceRenewal() time.Duration {
 	return o.now().Sub(o.renewedAt.Get()) + o.suspendedFor()
 }
--- a/job/peer.go
+++ b/job/peer.go
@@ -16,23 +16,23 @@
 	"amberway/platform"
 )
 
-// Times of questions between entry hosts.
+// Timeouts of requests between entry hosts.
 const (
-	// peerTimeout bounds one question. Entry hosts are a millisecond apart. A kept
+	// peerTimeout bounds one query. Entry hosts are a millisecond apart. A kept
 	// connection has half of it, and a new one the rest.
 	peerTimeout = 400 * time.Millisecond
-	// relayTimeout bounds the intake of a job through another entry host, which
-	// writes to the store.
+	// relayTimeout bounds the acceptance or cancelling of a job through another entry host,
+	// which writes to the store.
 	relayTimeout = 1200 * time.Millisecond
 )
 
-// errNotOwner says that the entry host that was asked does not own.
+// errNotOwner reports that the entry host that was asked is not the owner.
 var errNotOwner = errors.New("entry host is not the owner")
 
 // peerConns is the most idle connections kept to one entry host.
 const peerConns = 4
 
-// peers asks other entry hosts.
+// peers is the client of other entry hosts.
 type peers struct {
 	exchange common.Exchange
 }
@@ -41,7 +41,7 @@
 	return &peers{exchange: common.NewExchange(common.Limits{PerAddress: peerConns})}
 }
 
-// ask puts one question to the owner, again on a new connection where a kept one is
+// ask sends one query to the owner, and repeats it on a new connection if a kept one is
 // silent.
 func (p *peers) ask(ctx context.Context, o Owner, path string) (common.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
@@ -64,7 +64,7 @@
 	return "", false, errNotOwner
 }
 
-// waiting asks the owner how many jobs of a queue wait.
+// waiting asks the owner how many jobs of a queue have not started.
 func (p *peers) waiting(ctx context.Context, o Owner, queue string) (int, error) {
 	r, err := p.ask(ctx, o, "/queues?name="+url.QueryEscape(queue))
 	if err != nil {
@@ -76,7 +76,7 @@
 	return strconv.Atoi(string(r.Body))
 }
 
-// accept has another entry host take in a job.
+// accept has another entry host accept a job.
 func (p *peers) accept(ctx context.Context, at netip.AddrPort, id ID, r Record) (common.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 	return common.ParseVerdict(string(a.Body))
 }
 
-// cancel has another entry host cancel a job.
+// cancel has another entry host cancel a job. It reports whether the job is known.
 func (p *peers) cancel(ctx context.Context, at netip.AddrPort, id ID) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -108,7 +108,7 @@
 	return false, platform.ErrRefused
 }
 
-// peerMux serves the questions of other entry hosts.
+// peerMux returns the handler of requests from other entry hosts.
 func (n *Node) peerMux() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /jobs/{id}", n.serveState)
@@ -154,7 +154,7 @@
 	}
 	v, err := n.intake.accept(r.Context(), id, rec, n.now().Add(relayTimeout-answerMargin))
 	if err != nil {
-		n.log.Write(LogLine{What: "relayed job not taken", Job: id, Why: err.Error()})
+		n.log.Write(LogLine{What: "relayed job not accepted", Job: id, Why: err.Error()})
 	}
 	_, _ = io.WriteString(w, v.String())
 }
--- a/job/progress.go
+++ b/job/progress.go
@@ -11,34 +11,34 @@
 	"amberway/platform"
 )
 
-// Progress is what the owner keeps of a job: enough that another owner goes on
-// with it, and that any entry host can tell its state.
+// Progress is what the store holds of a job beside its record: enough for another owner to
+// continue the job, and for any entry host to tell its state.
 type Progress struct {
 	State platform.State `json:"s"`
-	// FinalAt is when the job came to its final state.
+	// FinalAt is when the job reached its final state.
 	FinalAt time.Time `json:"t,omitzero"`
-	// Instances are those times of the job of which a task has ended, by their
-	// number. Those below Past are done in whole.
+	// Instances holds those instances of the job of which a task has ended, by number.
+	// All tasks of instances below Past are done.
 	Instances map[int]InstanceProgress `json:"i,omitempty"`
 	Past      int                      `json:"p,omitempty"`
-	// Leftover is what runs of a final job take that have yet to end, nil where its team
-	// has no cap.
+	// Leftover describes runs of a final job that have yet to end. It is nil if there are
+	// none or the job's team has no cap.
 	Leftover *LeftoverRuns `json:"r,omitempty"`
 }
 
-// LeftoverRuns says what the runs of a final job count for, which the next owner may find at
-// its workers when the job's record has gone.
+// LeftoverRuns tells what unfinished runs of a final job count against its team's cap. The
+// next owner may find such runs on workers when the job's record is deleted already.
 type LeftoverRuns struct {
 	Team    string `json:"m"`
 	Service string `json:"s"`
-	// Tasks are what a task takes, by step; Running is what all those take that had not
-	// ended.
+	// Tasks is the demand of a task, by step; Running is the demand of all runs that had
+	// not ended.
 	Tasks   []platform.Resources `json:"w"`
 	Running platform.Resources   `json:"r"`
 }
 
-// leftoverRuns returns what the job's runs still take of its team's cap, or nil. Where workers
-// have yet to say what an earlier owner started, each task may run.
+// leftoverRuns returns what the job's runs still count against its team's cap, or nil. While
+// workers have yet to report the runs of an earlier owner, each task counts as running.
 func (c *Core) leftoverRuns(j *job) *LeftoverRuns {
 	if j.team == nil || j.team.Cap == (platform.Resources{}) {
 		return nil
@@ -62,7 +62,7 @@
 	return r
 }
 
-// runCount counts the runs of the step's tasks.
+// runCount returns the number of runs of the step's tasks.
 func (s *step) runCount() int {
 	n := 0
 	for _, t := range s.tasks {
@@ -71,7 +71,7 @@
 	return n
 }
 
-// finalJob returns a job of which an earlier owner has kept that it is final.
+// finalJob returns a job that is final according to the progress of an earlier owner.
 func (c *Core) finalJob(id ID, p Progress) *job {
 	j := &job{id: id, state: p.State, storedState: p.State, finalAt: p.FinalAt, started: true, leftover: p.Leftover}
 	if r := p.Leftover; r != nil {
@@ -85,18 +85,19 @@
 	return j
 }
 
-// InstanceProgress is what is kept of one time of a job.
+// InstanceProgress is the progress of one instance of a job.
 type InstanceProgress struct {
-	// Done has a bit for each finished task, by step.
+	// Done has a bit for each finished task, by step. It is empty for a complete instance.
 	Done []*big.Int `json:"d,omitempty"`
-	// Failures counts the failed runs of unfinished tasks.
+	// Failures holds the failures of unfinished tasks.
 	Failures []TaskFailures `json:"f,omitempty"`
 	Complete bool           `json:"w,omitempty"`
 }
 
-// TaskFailures are the failed runs of one task, by number: a worker tells of an
-// end again to the next owner until it has forgotten it. Crashes counts the workers that
-// crashed under the task, of which nobody tells again.
+// TaskFailures holds the failures of one task. Runs are the numbers of its failed runs:
+// until a worker has an acknowledgement, it reports an end to the next owner as well, which
+// must not count it twice. Crashes counts the workers that crashed while they ran the task,
+// which are not reported again.
 type TaskFailures struct {
 	Step    int     `json:"s"`
 	Index   int     `json:"i"`
@@ -125,27 +126,27 @@
 	return id, p, nil
 }
 
-// check returns what no owner would have written.
+// check returns an error for progress that no owner would have written.
 func (p *Progress) check() error {
 	switch p.State {
 	case platform.StateQueued, platform.StateRunning, platform.StateSucceeded, platform.StateFailed, platform.StateCancelled:
 	default:
-		return fmt.Errorf("state %.20q", p.State)
+		return fmt.Errorf("unknown state %.20q", p.State)
 	}
 	if p.Past < 0 {
-		return errors.New("a time below zero")
+		return errors.New("negative instance number")
 	}
 	for _, n := range p.Instances {
 		for _, f := range n.Failures {
 			if f.Step < 0 || f.Index < 0 {
-				return errors.New("a step or task below zero")
+				return errors.New("negative step or task number")
 			}
 		}
 	}
 	return nil
 }
 
-// progress returns what is to be kept of the job now.
+// progress returns the present progress of the job.
 func (c *Core) progress(j *job) Progress {
 	p := Progress{State: j.state, FinalAt: j.finalAt}
 	if j.state.Final() {
@@ -181,8 +182,8 @@
 	return p
 }
 
-// restore takes over what an earlier owner has kept. Lasting tasks that workers have crashed
-// under wait anew.
+// restore applies the progress that an earlier owner has stored. A lasting task with crashes
+// waits for its backoff once more.
 func (n *instance) restore(p InstanceProgress, now time.Time) {
 	for i, s := range n.steps {
 		for x, t := range s.tasks {
--- a/job/record.go
+++ b/job/record.go
@@ -16,7 +16,7 @@
 // idLength is the length of an ID, in hexadecimal digits.
 const idLength = 16
 
-// ParseID returns the id in s, or false where s is none.
+// ParseID returns the id in s, or false if s is not a valid id.
 func ParseID(s string) (ID, bool) {
 	if len(s) != idLength || strings.Trim(s, "0123456789abcdefABCDEF") != "" {
 		return "", false
@@ -26,13 +26,13 @@
 
 // Keys of jobs in the store.
 const (
-	// jobsPrefix begins what entry hosts write and the owner follows.
+	// jobsPrefix is the prefix of the keys that entry hosts write and the owner follows.
 	jobsPrefix = "jobs/"
-	// recordPrefix begins the records of accepted jobs that are not final.
+	// recordPrefix is the prefix of the records of accepted jobs that are not final.
 	recordPrefix = "jobs/new/"
-	// cancelPrefix begins the marks of jobs that a caller has cancelled.
+	// cancelPrefix is the prefix of the cancel marks of jobs.
 	cancelPrefix = "jobs/cancel/"
-	// progressPrefix begins what the owner keeps of a job.
+	// progressPrefix is the prefix of the progress of jobs, which the owner writes.
 	progressPrefix = "progress/"
 )
 
@@ -40,21 +40,22 @@
 func cancelKey(id ID) string   { return cancelPrefix + string(id) }
 func progressKey(id ID) string { return progressPrefix + string(id) }
 
-// Record is an accepted job as the store keeps it. What it holds of its queue
-// is used only while the configuration does not have the queue.
+// Record is an accepted job as the store holds it. Its copies of the queue's settings are
+// used only while the configuration does not have the queue.
 type Record struct {
 	Queue    string  `json:"q"`
 	Service  string  `json:"s"`
 	Priority int     `json:"p,omitempty"`
 	Attempts int     `json:"r,omitempty"`
 	Stretch  float64 `json:"x,omitempty"`
-	// Goal is added to the stretched chain of work.
+	// Goal is added to Stretch times the critical path of an instance: the instance is to be
+	// done within that time.
 	Goal time.Duration `json:"g,omitempty"`
-	// Team is the team whose caller handed the job in, "" for none.
+	// Team is the team whose caller submitted the job, "" for none.
 	Team string `json:"m,omitempty"`
-	// DataCentre is where that was.
+	// DataCentre is where the job was submitted.
 	DataCentre string `json:"l,omitempty"`
-	// ReceivedAt is when the first entry host read the job.
+	// ReceivedAt is when the first entry host received the job.
 	ReceivedAt time.Time       `json:"t"`
 	Spec       string          `json:"c"`
 	Steps      []platform.Step `json:"w"`
@@ -63,7 +64,7 @@
 	Every      time.Duration   `json:"e,omitempty"`
 }
 
-// NewRecord returns the record of a job that was handed in to a queue.
+// NewRecord returns the record of a job that was submitted to a queue.
 func NewRecord(q platform.Queue, s platform.Submission, now time.Time) Record {
 	return Record{
 		Queue:      q.Name,
@@ -81,15 +82,14 @@
 	}
 }
 
-// Bounds of what a job may hold. The largest of the users' jobs has some
-// hundred tasks.
+// Limits of a job. The largest jobs of users have some hundred tasks.
 const (
 	maxSteps = 256
 	maxTasks = 20000
 	maxTimes = 10000
 )
 
-// Check returns the first fault of the job as its caller should read it.
+// Check returns the first fault of the job, in words for its caller.
 func (r *Record) Check() error {
 	switch {
 	case len(r.Spec) > platform.MaxSpec:
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// checkCycle reports steps that wait for each other.
+// checkCycle returns an error if steps wait for each other.
 func (r *Record) checkCycle() error {
 	done := make([]bool, len(r.Steps))
 	for range r.Steps {
@@ -157,12 +157,12 @@
 	return b, nil
 }
 
-// decodeRecord reads the record of a job. What no entry host would have written is an
-// error: an entry may come from another writer.
+// decodeRecord decodes the record of a job. A record that no entry host would have written
+// is an error: others may write to the store.
 func decodeRecord(e platform.Entry) (ID, Record, error) {
 	id, ok := ParseID(strings.TrimPrefix(e.Key, recordPrefix))
 	if !ok {
-		return id, Record{}, fmt.Errorf("job: %.80q is no key of a record", e.Key)
+		return id, Record{}, fmt.Errorf("job: %.80q is not the key of a record", e.Key)
 	}
 	var r Record
 	err := json.Unmarshal(e.Value, &r)
--- a/job/roster.go
+++ b/job/roster.go
@@ -12,41 +12,43 @@
 	"amberway/platform"
 )
 
-// Keys of the roster. Each of its parts has a key: one worker comes or goes with each
-// move of a host, of which there are some forty a second, and written whole the roster
-// of 372 workers took 37 kB each time, half of all that an owner sent: 22.0 of 42.2 MB
-// on a quiet day of 17,672 starts, with the jobs' progress 2.0. A part is some six
-// workers there, and half a kilobyte.
+// Keys of the roster, which is stored in shards, one key each: with every move of a host, of
+// which there are some forty a second, one worker comes or goes. Written as one value, the
+// roster of 372 workers took 37 kB each time, half of all that an owner sent: 22.0 of 42.2 MB
+// on a quiet day of 17,672 starts, compared with 2.0 MB for the progress of jobs. A shard
+// then holds some six workers in half a kilobyte.
 const (
-	// ownerOnlyPrefix begins all keys that only owners write, beside the jobs' progress.
+	// ownerOnlyPrefix is the prefix of all keys that only owners write, other than the
+	// progress of jobs.
 	ownerOnlyPrefix = "owner/"
-	// rosterPrefix begins the keys of the parts, which end in their number.
+	// rosterPrefix is the prefix of the keys of shards of workers, which end in a number.
 	rosterPrefix = ownerOnlyPrefix + "workers/"
-	// orderedPrefix begins those of the machines that got orders of late, in parts.
+	// orderedPrefix is the prefix of the keys of shards of recently ordered machines.
 	orderedPrefix = ownerOnlyPrefix + "ordered/"
 	// legacyRosterKey holds the roster of an owner of an earlier version, as one value.
 	legacyRosterKey = ownerOnlyPrefix + "workers"
-	// rosterShards and orderedParts are how many parts there are, mostParts how many of
-	// the workers' go into one write, so that the jobs' progress has room there.
+	// rosterShards and orderedShards are the numbers of shards of workers and of machines.
+	// maxShardsPerWrite limits the shards of workers in one write, to leave room for the
+	// progress of jobs.
 	rosterShards      = 64
 	orderedShards     = 8
 	maxShardsPerWrite = 14
 )
 
-// Roster is the workers on which an owner may have started runs. It is kept so
-// that the next owner knows whose answers to wait for.
+// Roster holds the workers on which an owner may have started runs. It is stored so that
+// the next owner knows whose answers to wait for.
 type Roster struct {
 	Workers []RosterEntry `json:"w"`
-	// Ordered are the machines that the owner has given orders to of late, or
-	// is about to: the next owner leaves them alone for a while.
+	// Ordered names the machines that the owner has recently given orders to, or is about
+	// to: the next owner gives them no orders for a while.
 	Ordered []string `json:"o,omitempty"`
-	// legacy says that it was kept as one value.
+	// legacy reports whether the roster was stored as one value.
 	legacy bool
-	// unreadableKeys are the keys of parts that could not be read.
+	// unreadableKeys are the keys of shards that could not be decoded.
 	unreadableKeys []string
 }
 
-// RosterEntry is one worker of a Roster.
+// RosterEntry is a worker in a Roster.
 type RosterEntry struct {
 	ID      platform.WorkerID `json:"i"`
 	Service string            `json:"s"`
@@ -58,26 +60,26 @@
 	return RosterEntry{ID: w.ID, Service: w.Service, Address: w.Address, Host: w.Host}
 }
 
-// rosterShard returns the number of the part that names a worker.
+// rosterShard returns the number of the shard that holds a worker.
 func rosterShard(id platform.WorkerID) int {
 	return int(xxhash.Sum64String(string(id)) % rosterShards)
 }
 
-// orderedShard returns the number of the part that names a machine.
+// orderedShard returns the number of the shard that holds a machine.
 func orderedShard(machine string) int {
 	return int(xxhash.Sum64String(machine) % orderedShards)
 }
 
-func orderedShardKey(part int) string {
-	return fmt.Sprintf("%s%d", orderedPrefix, part)
+func orderedShardKey(shard int) string {
+	return fmt.Sprintf("%s%d", orderedPrefix, shard)
 }
 
-func rosterShardKey(part int) string {
-	return fmt.Sprintf("%s%02d", rosterPrefix, part)
+func rosterShardKey(shard int) string {
+	return fmt.Sprintf("%s%02d", rosterPrefix, shard)
 }
 
-// readRoster returns the roster in the owners' keys. A part that cannot be read must not
-// keep every next owner from taking over.
+// readRoster returns the roster in the entries under ownerOnlyPrefix. A shard that cannot be
+// decoded is skipped: it must not keep owners from taking over.
 func readRoster(l []platform.Entry) Roster {
 	var r Roster
 	for _, e := range l {
@@ -105,18 +107,18 @@
 	return r
 }
 
-// rosterChanges are what of the roster has yet to be written.
+// rosterChanges tells which shards of the roster have yet to be written.
 type rosterChanges struct {
 	shards  [rosterShards]bool
 	ordered [orderedShards]bool
 }
 
-// any reports whether anything is to be written.
+// any reports whether any shard has yet to be written.
 func (r rosterChanges) any() bool {
 	return r != rosterChanges{}
 }
 
-// split returns the changes that go into one write, and what is left.
+// split returns the changes for the next write, and those for later ones.
 func (r rosterChanges) split() (now, later rosterChanges) {
 	now.ordered = r.ordered
 	n := 0
@@ -133,12 +135,12 @@
 	return now, later
 }
 
-// inheritRoster adds the workers that an earlier owner may have runs on. What the store holds
-// of them holds for this owner as well: those named as they are may get starts at once.
+// inheritRoster adds the workers on which an earlier owner may have runs. The stored roster
+// counts for this owner as well: workers whose entries are up to date may get starts at once.
 func (c *Core) inheritRoster(r Roster) {
 	if len(r.unreadableKeys) > 0 {
 		c.rosterUnknownUntil = c.now.Add(inheritedLease)
-		c.emit(LogLine{What: "roster not read", Why: "jobs of earlier owners wait until all leases must have lapsed", Fields: []any{"keys", strings.Join(r.unreadableKeys, " ")}})
+		c.emit(LogLine{What: "roster not read", Why: "jobs of earlier owners wait until all leases must have expired", Fields: []any{"keys", strings.Join(r.unreadableKeys, " ")}})
 	}
 	named := map[platform.WorkerID]bool{}
 	for _, e := range r.Workers {
@@ -162,20 +164,20 @@
 	}
 }
 
-// markRosterDirty has the part of the roster written that names the worker, or no longer
-// does. A worker gets its first start after that.
+// markRosterDirty has the worker's shard of the roster written, with or without the worker.
+// A worker gets its first start only after that.
 func (c *Core) markRosterDirty(w *worker) {
 	c.roster.shards[rosterShard(w.ID)] = true
 	c.writeSoon()
 }
 
-// markOrderedDirty has the part written that names a machine which is to get an order.
+// markOrderedDirty has the shard written of a machine that is to get an order.
 func (c *Core) markOrderedDirty(m *machine) {
 	c.roster.ordered[orderedShard(m.Name)] = true
 	c.writeSoon()
 }
 
-// writeSoon has what has changed written without waiting for more.
+// writeSoon makes the next write due at once.
 func (c *Core) writeSoon() {
 	if c.writeDueAt.IsZero() {
 		c.writeDueAt = c.now
@@ -183,14 +185,14 @@
 	c.writeUrgent = true
 }
 
-// addRoster puts what has changed of the roster into the write.
+// addRoster adds changed shards of the roster to the write.
 func (c *Core) addRoster(k *storeWrite) {
 	k.changes, c.roster = c.roster.split()
 	c.addOrdered(k)
 	c.addRosterShards(k)
 }
 
-// addOrdered puts the changed parts of the ordered machines into the write.
+// addOrdered adds the changed shards of ordered machines to the write.
 func (c *Core) addOrdered(k *storeWrite) {
 	if k.changes.ordered == [orderedShards]bool{} {
 		return
@@ -208,7 +210,7 @@
 	}
 }
 
-// addRosterShards puts the changed parts of the workers into the write.
+// addRosterShards adds the changed shards of workers to the write.
 func (c *Core) addRosterShards(k *storeWrite) {
 	if k.changes.shards == [rosterShards]bool{} {
 		return
@@ -238,7 +240,7 @@
 	k.puts = append(k.puts, platform.Put{Key: key, Value: b})
 }
 
-// requeueRoster has what a failed write held of the roster written once more.
+// requeueRoster has the roster's shards in a failed write written again.
 func (c *Core) requeueRoster(k *storeWrite) {
 	for p, failed := range k.changes.shards {
 		c.roster.shards[p] = c.roster.shards[p] || failed
@@ -248,7 +250,8 @@
 	}
 }
 
-// isRosterKey reports whether the key is written anew from the roster as it is.
+// isRosterKey reports whether the key is that of a shard, which is always written from the
+// present roster.
 func isRosterKey(key string) bool {
 	return strings.HasPrefix(key, orderedPrefix) || strings.HasPrefix(key, rosterPrefix)
 }
--- a/job/serve.go
+++ b/job/serve.go
@@ -9,6 +9,8 @@
 	"amberway/platform"
 )
 
+// localState returns the state of a job and whether the job is known. The last result is
+// false unless the owner runs on this host and has loaded all jobs.
 func (n *Node) localState(id ID) (platform.State, bool, bool) {
 	o := n.localOwner()
 	if o == nil || !o.loaded.Load() {
@@ -20,10 +22,12 @@
 	return s, known, true
 }
 
+// localWaiting returns how many jobs of a queue have not started, or false unless the owner
+// runs on this host and has loaded all jobs.
 func (n *Node) localWaiting(queue string) (int, bool) {
 	o := n.localOwner()
 	if o == nil || !o.loaded.Load() {
-		// An owner that is still reading would count too few.
+		// An owner that is still loading would count too few.
 		return 0, false
 	}
 	o.mu.Lock()
@@ -45,17 +49,18 @@
 	return n.storedState(ctx, id)
 }
 
-// storedState returns a job's state as the store has it. The record is read
-// first, since a job that ends loses it as its progress becomes final.
+// storedState returns a job's state as the store has it. It reads the record before the
+// progress: the write that makes the progress final deletes the record, so that a job which
+// ends meanwhile is found either way.
 func (n *Node) storedState(ctx context.Context, id ID) (platform.State, bool, error) {
 	_, err := n.KV.Get(ctx, recordKey(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return "", false, err
 	}
-	there := err == nil
+	recorded := err == nil
 	e, err := n.KV.Get(ctx, progressKey(id))
 	if errors.Is(err, platform.ErrNotFound) {
-		return platform.StateQueued, there, nil
+		return platform.StateQueued, recorded, nil
 	}
 	if err != nil {
 		return "", false, err
@@ -64,6 +69,7 @@
 	return p.State, true, err
 }
 
+// waiting returns how many jobs of a queue have not started, which only the owner knows.
 func (n *Node) waiting(ctx context.Context, queue string) (int, error) {
 	if c, owns := n.localWaiting(queue); owns {
 		return c, nil
@@ -75,14 +81,13 @@
 	return n.peers.waiting(ctx, o, queue)
 }
 
-// accept takes in a job here or, where the store turns this host away, through
-// the owner.
+// accept writes a job to the store from here or, if this host cannot, through the owner.
 func (n *Node) accept(ctx context.Context, id ID, r Record) common.Verdict {
 	deadline, _ := ctx.Deadline()
 	v, err := n.intake.accept(ctx, id, r, deadline)
 	n.metrics.intake.Add(ctx, 1, label("verdict", v.String()))
 	if err != nil {
-		n.log.Write(LogLine{What: "job not taken", Job: id, Why: err.Error()})
+		n.log.Write(LogLine{What: "job not accepted", Job: id, Why: err.Error()})
 	}
 	if v != common.NotRun {
 		return v
@@ -98,8 +103,9 @@
 	return v
 }
 
-// fullUntil returns when the caller of a job is to come back, or false where its queue is
-// not full. A job that was taken before is not refused: this may be a copy of it.
+// fullUntil returns when the caller of a job may retry, or false unless the job is refused
+// because its queue is full. A job that was accepted before is not refused: this may be a
+// retry of the same request.
 func (n *Node) fullUntil(ctx context.Context, id ID, c caller) (time.Time, bool) {
 	at, why, full := n.election.refusedUntil(id, c)
 	if !full {
@@ -115,8 +121,8 @@
 	return at, true
 }
 
-// cancel cancels a job here or through the owner. It reports whether the job
-// is known.
+// cancel cancels a job from here or, if this host cannot, through the owner. It reports
+// whether the job is known.
 func (n *Node) cancel(ctx context.Context, id ID) (bool, error) {
 	known, err := n.cancelHere(ctx, id)
 	o := n.election.owner()
@@ -126,7 +132,8 @@
 	return n.peers.cancel(ctx, o.Peer, id)
 }
 
-// cancelHere marks a job as cancelled, unless it is final or not known.
+// cancelHere writes a job's cancel mark, unless the job is final or not known. It reports
+// whether the job is known.
 func (n *Node) cancelHere(ctx context.Context, id ID) (bool, error) {
 	for {
 		e, err := n.KV.Get(ctx, recordKey(id))
@@ -145,7 +152,8 @@
 			Puts:   []platform.Put{{Key: cancelKey(id), Value: []byte("1")}},
 		})
 		if errors.Is(err, platform.ErrConflict) || (errors.Is(err, common.ErrSilent) && ctx.Err() == nil) {
-			// The mark is the same if it was written and its answer lost.
+			// Retry: if the mark was written and only the answer lost, the same mark is
+			// written again.
 			continue
 		}
 		if err == nil {
--- a/job/keeper.go
+++ b/job/store_writer.go
@@ -10,21 +10,21 @@
 	"amberway/platform"
 )
 
-// Keys of an owner.
+// Keys that guard the writes of an owner.
 const (
-	// ownerKey holds who owns, under the owner's lease. It lies beside the jobs,
-	// so that an owner which follows them learns that it has been replaced
-	// before it learns of any job that came after that.
+	// ownerKey names the owner, under the owner's lease. It is under the prefix of
+	// the jobs, so that an owner that watches them learns that it has been replaced
+	// before it learns of any job that was added after that.
 	ownerKey = jobsPrefix + "owner"
-	// writeKey is written with each write of an owner, so that a write which is
-	// carried out late meets its condition.
+	// writeKey is written with each write of an owner. A write that the store carries
+	// out late, after the next one, fails the guard on its revision.
 	writeKey = ownerOnlyPrefix + "write"
 )
 
 // unknownRetry is the pause before a write is repeated whose answer was lost.
 const unknownRetry = 100 * time.Millisecond
 
-// storeWriter makes the writes of one owner, one after the other.
+// storeWriter makes the writes of one owner, one at a time.
 type storeWriter struct {
 	kv    *platform.KV
 	fence platform.Fence
@@ -32,11 +32,11 @@
 	last platform.Revision
 }
 
-// errDeposed says that somebody else owns.
-var errDeposed = errors.New("another owner has come")
+// errDeposed reports that this owner has been replaced.
+var errDeposed = errors.New("another owner has taken over")
 
-// write makes one write. It repeats a write whose answer was lost until it knows
-// what became of it, and calls slow when it first has to.
+// write makes one write. If its answer is lost, it repeats the write until it knows
+// whether the write was done, and calls slow before each repetition.
 func (k *storeWriter) write(ctx context.Context, a WriteStore, slow func()) error {
 	id := strconv.FormatInt(int64(k.fence), 10) + "." + strconv.FormatInt(a.Number, 10)
 	t := platform.Txn{
@@ -47,7 +47,7 @@
 		Puts:    append([]platform.Put{{Key: writeKey, Value: []byte(id)}}, a.Puts...),
 		Deletes: a.Deletes,
 	}
-	unsure := false
+	unconfirmed := false
 	for {
 		at, found, err := k.kv.Commit(ctx, t)
 		switch {
@@ -57,8 +57,8 @@
 		case errors.Is(err, platform.ErrConflict):
 			return k.resolveConflict(found, id)
 		case errors.Is(err, platform.ErrUnknown):
-			unsure = true
-		case !unsure:
+			unconfirmed = true
+		case !unconfirmed:
 			return err
 		}
 		slow()
@@ -69,8 +69,8 @@
 	}
 }
 
-// resolveConflict tells a write of its own, which was done although its answer was
-// lost, from the end of the ownership.
+// resolveConflict returns nil if the conflict is due to the write itself, which was done
+// although its answer was lost, and errDeposed otherwise.
 func (k *storeWriter) resolveConflict(found []platform.Entry, id string) error {
 	owned := false
 	for _, e := range found {
--- a/job/succession.go
+++ b/job/takeover.go
@@ -6,44 +6,45 @@
 	"amberway/platform"
 )
 
-// storeUnreachableAfter is the time without a renewal after which the store has been away:
-// more than two renewals that failed.
+// storeUnreachableAfter is the time without a successful renewal after which the store counts
+// as having been unreachable: more than two failed renewals.
 const storeUnreachableAfter = 3 * renewEvery
 
-// takeover is what an owner has to do with those before and after it.
+// takeover is the part of an owner's state that is about earlier owners and the next one.
 type takeover struct {
-	// uncontacted are the services with workers that have not answered yet and on
-	// which an earlier owner's runs may go on, by when that was first found.
+	// uncontacted holds the services with workers that have not answered this owner yet
+	// and on which runs of an earlier owner may continue, with when that was first found.
 	uncontacted map[string]time.Time
 	roster      rosterChanges
-	// rosterUnknownUntil is when all that earlier owners have started must be over, if the
-	// roster could not be read in whole.
+	// rosterUnknownUntil is when all runs of earlier owners must have ended. It is set if
+	// part of the roster could not be read.
 	rosterUnknownUntil time.Time
-	// earlierOrdersUntil is until when orders of an earlier owner may be carried out, which a
-	// worker that starts again knows no fence against.
+	// earlierOrdersUntil is until when workers may still carry out orders of an earlier
+	// owner. A worker that has restarted does not know the fence that would refuse them.
 	earlierOrdersUntil time.Time
-	// stepped says that a first step was made: an owner reads what it takes over before
-	// that, and looks once more whether it owns.
+	// stepped reports whether the first step was made. The time before it does not count
+	// as a pause: the owner loads the inherited state, and then checks its ownership.
 	stepped bool
-	// resumedAt is when the owner last went on after a pause in which another may have come
-	// to own.
+	// resumedAt is when the owner last resumed after a pause during which it may have been
+	// replaced.
 	resumedAt time.Time
-	// ownedUntil is the last time at which the owner is known to have owned.
+	// ownedUntil is the last time at which this owner was certainly the owner.
 	ownedUntil time.Time
-	// storeBackAt is when the store last answered again after it had been away.
+	// storeBackAt is when the store last answered again after it had been unreachable.
 	storeBackAt time.Time
 }
 
-// maxPause is how long an owner may do nothing and still give starts without a word of the
-// store: a lease that was renewed just before has not ended by then. A worker that starts
-// again knows no fence, and would take the starts of an owner that has been replaced.
+// maxPause is the longest pause after which an owner may start runs without renewing its
+// lease first: a lease that was renewed just before the pause has not expired by then. A
+// restarted worker knows no fence, and would accept starts from an owner that has been
+// replaced.
 const maxPause = ownerTTL - renewEvery
 
 func newTakeover(now time.Time) takeover {
 	return takeover{uncontacted: map[string]time.Time{}, earlierOrdersUntil: now.Add(inheritedLease), ownedUntil: now}
 }
 
-// Inherited is what an owner finds in the store when it takes over.
+// Inherited is the state that an owner finds in the store when it takes over.
 type Inherited struct {
 	Config   *platform.Deployed
 	Workers  []platform.Worker
@@ -51,16 +52,16 @@
 	Progress map[ID]Progress
 	Cancels  []ID
 	Roster   Roster
-	// Admission is what the owner before has said of the queues.
+	// Admission is the admission policy of the previous owner.
 	Admission AdmissionPolicy
 	Waves     []platform.Wave
-	// WavesEnded are the waves that are reported as done, WavesBegan the
-	// machines whose upkeep has begun, by wave.
+	// WavesEnded holds the waves that are reported as done, WavesBegan the machines
+	// whose maintenance has begun, by wave.
 	WavesEnded map[int64]bool
 	WavesBegan map[int64][]string
 }
 
-// apply takes over what is in the store.
+// apply takes over the state.
 func (e Inherited) apply(c *Core) {
 	if e.Config != nil {
 		ConfigChanged{Config: e.Config}.apply(c)
@@ -96,7 +97,7 @@
 	Tick{}.apply(c)
 }
 
-// apply notes until when nobody else has owned.
+// apply notes until when this owner has certainly not been replaced.
 func (e LeaseRenewed) apply(c *Core) {
 	if e.SentAt.Sub(c.ownedUntil) > storeUnreachableAfter {
 		c.storeBackAt = e.SentAt
@@ -104,15 +105,15 @@
 	c.ownedUntil = latest(c.ownedUntil, e.SentAt)
 }
 
-// leaseExpired reports whether everything that any order started on the worker must
-// have ended by its lease. Another owner may have extended the lease since this
-// one was last known to own, so that only leases that lapsed before that count.
+// leaseExpired reports whether all runs on the worker must have ended because its lease has
+// expired. Another owner may have extended the lease after ownedUntil, so that only a lease
+// that expired before that counts.
 func (c *Core) leaseExpired(w *worker) bool {
 	return w.leaseExpired(c.ownedUntil)
 }
 
-// inheritedRunsKnown reports whether every worker on which an earlier owner may have runs
-// of the job has answered or lapsed.
+// inheritedRunsKnown reports whether each worker on which an earlier owner may have runs of
+// the job has answered, or its lease has expired.
 func (c *Core) inheritedRunsKnown(j *job) bool {
 	if int64(j.created) > int64(c.fence) {
 		return true
@@ -125,10 +126,10 @@
 	return !waits && !waited
 }
 
-// updateUncontacted finds the services with workers that have never answered and whose
-// earlier leases may go on.
+// updateUncontacted finds the services with inherited workers that have not answered this
+// owner and whose leases may not have expired.
 func (c *Core) updateUncontacted() {
-	before := c.uncontacted
+	previous := c.uncontacted
 	c.uncontacted = map[string]time.Time{}
 	var room uncontactedRoom
 	for _, w := range c.workers {
@@ -139,25 +140,26 @@
 		if _, counted := c.uncontacted[w.Service]; counted {
 			continue
 		}
-		since, known := before[w.Service]
+		since, known := previous[w.Service]
 		if !known {
 			since = c.now
-			c.emit(LogLine{What: "inherited jobs wait", Worker: w.ID, Why: "an earlier owner's runs may go on at a worker that has not answered", Fields: []any{"service", w.Service, "host", w.Host, "silent", w.missedPolls, "at_most_ms", w.expiresBy.Sub(c.now).Milliseconds()}})
+			c.emit(LogLine{What: "inherited jobs wait", Worker: w.ID, Why: "an earlier owner's runs may continue on a worker that has not answered", Fields: []any{"service", w.Service, "host", w.Host, "silent", w.missedPolls, "at_most_ms", w.expiresBy.Sub(c.now).Milliseconds()}})
 		}
 		c.uncontacted[w.Service] = since
 	}
-	for s, since := range before {
+	for s, since := range previous {
 		if _, waits := c.uncontacted[s]; !waits {
-			c.emit(LogLine{What: "inherited jobs go on", Fields: []any{"service", s, "waited_ms", c.now.Sub(since).Milliseconds()}})
+			c.emit(LogLine{What: "inherited jobs resume", Fields: []any{"service", s, "waited_ms", c.now.Sub(since).Milliseconds()}})
 		}
 	}
 	c.countUncontacted(room)
 }
 
-// uncontactedRoom is the room of workers that have not answered.
+// uncontactedRoom is the total capacity of inherited workers that have not answered.
 type uncontactedRoom struct {
 	platform.Resources
-	// unknown says that one of them is known by the roster only, which does not tell its room.
+	// unknown reports whether one of them is known only from the roster, which does not
+	// tell its capacity.
 	unknown bool
 }
 
@@ -166,7 +168,7 @@
 	r.unknown = r.unknown || w.Capacity == (platform.Resources{})
 }
 
-// advanceTo sets the time of a step, and notes a pause of the owner.
+// advanceTo sets the time of a step, and detects a pause of the owner.
 func (c *Core) advanceTo(now time.Time) {
 	d := now.Sub(c.now)
 	first := !c.stepped
@@ -181,7 +183,8 @@
 	c.now = now
 }
 
-// maybeReplaced reports whether another may have come to own while the owner did nothing.
+// maybeReplaced reports whether another host may have become the owner during a pause of
+// this one.
 func (c *Core) maybeReplaced() bool {
 	return c.ownedUntil.Before(c.resumedAt)
 }
--- a/job/keep.go
+++ b/job/write_queue.go
@@ -7,23 +7,24 @@
 	"amberway/platform"
 )
 
-// Times of writing to the store.
+// Settings of writing to the store.
 const (
-	// writeDelay gathers the ends of some tasks into one write.
+	// writeDelay is the delay of a write, so that it holds the progress of several jobs.
 	writeDelay = 60 * time.Millisecond
-	// finalWriteDelay gathers final states, for which callers wait.
+	// finalWriteDelay is the delay of final states, which is shorter because callers wait
+	// for them.
 	finalWriteDelay = 15 * time.Millisecond
 	// writeRetry is the pause after a write that failed.
 	writeRetry = 200 * time.Millisecond
-	// entriesPerJob is the most entries that a job takes in a write: its progress and,
-	// once it is final, its record and the mark of its cancelling.
+	// entriesPerJob is the most entries of one job in a write: its progress and, once it
+	// is final, the deletions of its record and its cancel mark.
 	entriesPerJob = 3
-	// entriesPerWrite is how many entries the keeper adds: two conditions and the
-	// number of the write.
+	// entriesPerWrite is how many entries storeWriter adds to a write: two guards and the
+	// id of the write.
 	entriesPerWrite = 3
 )
 
-// writeQueue is what the owner has yet to write.
+// writeQueue holds what the owner has yet to write to the store.
 type writeQueue struct {
 	dirtyJobs   []*job
 	writeUrgent bool
@@ -31,26 +32,27 @@
 	wakeAt      time.Time
 	writeNumber int64
 	inFlight    *storeWrite
-	// extra are writes beside those of jobs.
+	// extraPuts and extraDeletes hold writes other than those of jobs and of the roster.
 	extraPuts     []platform.Put
 	extraDeletes  []string
 	writesFailing bool
 }
 
-// storeWrite is what the write under way holds.
+// storeWrite is one write, kept until the store has answered it.
 type storeWrite struct {
-	states  map[*job]writtenState
+	states map[*job]writtenState
+	// seen holds the number of the last end of each worker that the write covers.
 	seen    map[*worker]int64
 	puts    []platform.Put
 	deletes []string
-	// changes are the parts of the roster in this write, rostered the workers that they
-	// name, ordered the machines.
+	// changes tells which shards of the roster are in the write, workers and machines
+	// which workers and ordered machines they name.
 	changes  rosterChanges
 	workers  []*worker
 	machines []string
 }
 
-// writtenState is what a write holds of a job.
+// writtenState is the state of a job as a write holds it.
 type writtenState struct {
 	platform.State
 	crashChanges int
@@ -60,7 +62,7 @@
 	return writeQueue{}
 }
 
-// markDirty notes that a job has changed.
+// markDirty has the progress of a job written.
 func (c *Core) markDirty(j *job) {
 	if c.writeDueAt.IsZero() {
 		c.writeDueAt = c.now.Add(writeDelay)
@@ -74,14 +76,14 @@
 	}
 }
 
-// deleteCancelMark removes the mark of a cancelled job that is final already.
+// deleteCancelMark deletes the cancel mark of a job that is final already.
 func (c *Core) deleteCancelMark(id ID) {
 	c.queueWrite(nil, []string{cancelKey(id)})
 }
 
-// queueWrite has the store written beside what is kept of jobs.
+// queueWrite has entries written that belong neither to a job nor to the roster.
 func (c *Core) queueWrite(p []platform.Put, deletes []string) {
-	// Newer values of a key replace older ones that are still to be written.
+	// The newest value of a key replaces one that has not been written yet.
 	for _, v := range p {
 		c.extraPuts = slices.DeleteFunc(c.extraPuts, func(o platform.Put) bool { return o.Key == v.Key })
 		c.extraPuts = append(c.extraPuts, v)
@@ -93,7 +95,7 @@
 	}
 }
 
-// startWrite starts the next write if it is due and none is under way.
+// startWrite starts the next write if it is due and none is in flight.
 func (c *Core) startWrite() {
 	if c.inFlight != nil || c.writeDueAt.IsZero() {
 		return
@@ -115,7 +117,7 @@
 		c.writeDueAt = time.Time{}
 	}
 	if len(c.dirtyJobs) == 0 {
-		// Only a write after which nothing is left to write covers all ends.
+		// A write that leaves out dirty jobs does not cover all ends that were seen.
 		for _, w := range c.workers {
 			if w.lastEndSeen > w.lastEndStored {
 				k.seen[w] = w.lastEndSeen
@@ -128,7 +130,7 @@
 	c.emit(WriteStore{Number: c.writeNumber, Puts: k.puts, Deletes: k.deletes})
 }
 
-// scheduleWake asks to be called at a time before the next tick.
+// scheduleWake requests a Woken event at a time before the next tick.
 func (c *Core) scheduleWake(at time.Time) {
 	if !c.wakeAt.IsZero() && !at.Before(c.wakeAt) && c.now.Before(c.wakeAt) {
 		return
@@ -150,12 +152,12 @@
 	}
 }
 
-// room returns how many entries the write has room for.
+// room returns how many more entries fit into the write.
 func (k *storeWrite) room() int {
 	return platform.MaxTxn - entriesPerWrite - len(k.puts) - len(k.deletes)
 }
 
-// bytes returns what the write takes on its way; values travel as base64.
+// bytes returns the size of the request, in which values are encoded as base64.
 func (k *storeWrite) bytes() int {
 	n := writeBytes
 	for _, p := range k.puts {
@@ -173,7 +175,7 @@
 	c.extraDeletes = c.extraDeletes[d:]
 }
 
-// apply notes that a write is done, or has it done again.
+// apply marks what was written as stored, or queues a failed write again.
 func (e WriteResult) apply(c *Core) {
 	k := c.inFlight
 	if k == nil || e.Number != c.writeNumber {
@@ -206,30 +208,30 @@
 	}
 }
 
-// apply notes that ends cannot be kept for now.
+// apply notes that the store does not accept writes for now.
 func (WriteSlow) apply(c *Core) {
 	c.writesFailing = true
 }
 
-// requeueWrite has everything of a failed write written once more, from the state
-// of then.
+// requeueWrite queues everything in a failed write again. Jobs and the roster are encoded
+// anew when the next write starts.
 func (c *Core) requeueWrite(k *storeWrite, err error) {
 	c.emit(LogLine{What: "write failed", Why: err.Error(), Fields: []any{"jobs", len(k.states)}})
 	c.writesFailing = true
-	own := map[string]bool{}
+	jobKeys := map[string]bool{}
 	for j := range k.states {
-		own[progressKey(j.id)], own[recordKey(j.id)], own[cancelKey(j.id)] = true, true, true
+		jobKeys[progressKey(j.id)], jobKeys[recordKey(j.id)], jobKeys[cancelKey(j.id)] = true, true, true
 		c.markDirty(j)
 	}
 	c.requeueRoster(k)
 	for _, p := range k.puts {
 		newer := slices.ContainsFunc(c.extraPuts, func(o platform.Put) bool { return o.Key == p.Key })
-		if !own[p.Key] && !isRosterKey(p.Key) && !newer {
+		if !jobKeys[p.Key] && !isRosterKey(p.Key) && !newer {
 			c.extraPuts = append(c.extraPuts, p)
 		}
 	}
 	for _, d := range k.deletes {
-		if !own[d] {
+		if !jobKeys[d] {
 			c.extraDeletes = append(c.extraDeletes, d)
 		}
 	}
