--- a/job/core_test.go
+++ b/job/core_test.go
@@ -15,27 +15,27 @@
 	"amberway/platform"
 )
 
-// fixture drives a Core by hand: it answers writes and looks as told.
+// fixture drives a Core: it answers writes at once, and polls when a test says so.
 type fixture struct {
 	t    *testing.T
 	core *Core
 	now  time.Time
-	// out are the actions since they were last taken.
+	// out holds the actions that were not yet taken.
 	out   []Action
 	looks map[platform.WorkerID]PollWorker
-	// holdWrites keeps writes unanswered.
+	// holdWrites leaves writes unanswered.
 	holdWrites bool
-	// ownerKeys are the owners' keys as the writes so far leave them, answered or not.
+	// ownerKeys holds the owner's keys after all writes so far, answered or not.
 	ownerKeys ownerStore
 	clock     platform.WorkerClock
-	// revision is that of the last write.
+	// revision is the revision of the last write.
 	revision platform.Revision
 }
 
-// ownerStore holds the owners' keys but for the jobs' progress.
+// ownerStore holds the entries under ownerOnlyPrefix.
 type ownerStore map[string][]byte
 
-// take takes in a write.
+// take applies a write.
 func (s ownerStore) take(a WriteStore) {
 	for _, p := range a.Puts {
 		if strings.HasPrefix(p.Key, ownerOnlyPrefix) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// roster returns what a next owner would read.
+// roster returns the roster that the next owner would read.
 func (s ownerStore) roster() Roster {
 	var l []platform.Entry
 	for k, v := range s {
@@ -56,7 +56,7 @@
 	return readRoster(l)
 }
 
-// roster returns what a next owner would read.
+// roster returns the roster that the next owner would read.
 func (f *fixture) roster() Roster {
 	return f.ownerKeys.roster()
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// step takes in the event and answers writes.
+// step applies the event and answers writes.
 func (f *fixture) step(e Event) {
 	l := f.core.Step(f.now, e)
 	for _, a := range l {
@@ -106,7 +106,7 @@
 	}
 }
 
-// pass lets time pass in steps of one tick.
+// pass advances the time in steps of one tick, and renews the owner's lease.
 func (f *fixture) pass(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step(LeaseRenewed{SentAt: f.now.Add(tickEvery)})
@@ -114,7 +114,7 @@
 	}
 }
 
-// passWithoutStore lets time pass in which the owner's lease is not renewed.
+// passWithoutStore advances the time without renewing the owner's lease.
 func (f *fixture) passWithoutStore(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(tickEvery)
@@ -131,7 +131,7 @@
 	}
 }
 
-// join adds workers that have answered a look.
+// join adds workers that have answered a poll.
 func (f *fixture) join(ids ...string) {
 	for _, id := range ids {
 		f.step(WorkerListed{Worker: testWorker(id)})
@@ -139,10 +139,10 @@
 	}
 }
 
-// answer answers the look under way at a worker.
+// answer answers the pending poll of a worker.
 func (f *fixture) answer(id string, l platform.PollReply) {
 	a, ok := f.looks[platform.WorkerID(id)]
-	require.True(f.t, ok, "no look at %s is under way", id)
+	require.True(f.t, ok, "no poll of %s is pending", id)
 	delete(f.looks, platform.WorkerID(id))
 	l.Clock = f.clock
 	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Acked: a.Order.LastSeen, Poll: l})
@@ -153,7 +153,7 @@
 	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Err: err})
 }
 
-// starts takes the orders to start that were given since the last call.
+// starts takes the orders to start that were not yet taken.
 func (f *fixture) starts() []StartRun {
 	var l []StartRun
 	var rest []Action
@@ -189,7 +189,7 @@
 	f.step(JobAccepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
 }
 
-// state returns the state of the job idA once what is due has been written.
+// state returns the state of the job idA after a tick, in which due writes are made.
 func (f *fixture) state() platform.State {
 	f.pass(tickEvery)
 	s, ok := f.core.StateOf(idA)
@@ -231,7 +231,7 @@
 	f.pass(200 * time.Millisecond)
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(2, next[0], platform.EndDone), ended(3, next[1], platform.EndDone)}})
-	require.Equal(t, platform.StateRunning, f.state(), "the store does not have the end yet")
+	require.Equal(t, platform.StateRunning, f.state(), "the store does not hold the end yet")
 	f.step(WriteResult{Number: f.core.writeNumber})
 	require.Equal(t, platform.StateSucceeded, f.state())
 }
@@ -302,18 +302,18 @@
 	begun := f.now
 	f.fail("w1", platform.ErrUnknown)
 	for len(f.starts()) == 0 {
-		require.Less(t, f.now.Sub(begun), 2*leaseFor, "the task is never given up")
+		require.Less(t, f.now.Sub(begun), 2*leaseFor, "the run is never given up")
 		f.pass(tickEvery)
 		if _, ok := f.looks["w1"]; ok {
-			require.Zero(t, f.looks["w1"].Order.Until, "a look at a silent worker extends its lease")
+			require.Zero(t, f.looks["w1"].Order.Until, "a poll of a silent worker extends its lease")
 			f.fail("w1", platform.ErrUnknown)
 		}
 	}
 	require.GreaterOrEqual(t, f.now.Sub(begun), leaseFor)
 }
 
-// An owner that is cut off from the store may have been replaced, and the next
-// one may have extended the lease of a worker that is silent only here.
+// An owner that cannot reach the store may have been replaced, and the next one may have
+// extended the lease of a worker that does not answer this one.
 func TestSilentWorkerIsNotGivenUpWithoutTheStore(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -332,10 +332,10 @@
 	require.Empty(t, f.starts(), "the next owner may have the task running on w1")
 	f.step(LeaseRenewed{SentAt: f.now})
 	f.step(Tick{})
-	require.Len(t, f.starts(), 1, "nobody else has owned, so the lease has lapsed")
+	require.Len(t, f.starts(), 1, "this owner was not replaced, so the lease has expired")
 }
 
-// A worker that answers in the first millisecond of its life tells a clock of zero.
+// A worker that answers in its first millisecond reports a clock of zero.
 func TestLeaseOfAWorkerWithClockZeroLasts(t *testing.T) {
 	f := newFixture(t)
 	f.clock = 0
@@ -444,7 +444,7 @@
 	f.join("w1")
 	g := platform.Step{Count: 3, Resources: platform.Resources{MilliCores: 2000}, Gang: true, Estimate: time.Second}
 	f.submit(idA, "quick", g)
-	require.Empty(t, f.starts(), "there is room for two of three")
+	require.Empty(t, f.starts(), "there is room for two of three members")
 	f.join("w2")
 	l := f.starts()
 	require.Len(t, l, 3)
@@ -534,7 +534,7 @@
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	f.pass(tickEvery)
-	f.step(WriteResult{Number: f.core.writeNumber, Err: errors.New("store is away")})
+	f.step(WriteResult{Number: f.core.writeNumber, Err: errors.New("store is unreachable")})
 	require.Equal(t, platform.StateRunning, f.state())
 	f.holdWrites = false
 	f.pass(2 * writeRetry)
@@ -578,7 +578,7 @@
 	}
 	f.answer(id, platform.PollReply{Running: rows})
 	s := f.stops()
-	require.Len(t, s, 1, "at a tenth after a second it needs nine more")
+	require.Len(t, s, 1, "with 10 % done after one second it needs nine more")
 	require.Equal(t, l[0].Order.Run, s[0].Run)
 }
 
@@ -678,7 +678,7 @@
 			f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 		}
 	}
-	require.Equal(t, platform.StateRunning, f.state(), "the run that goes on decides")
+	require.Equal(t, platform.StateRunning, f.state(), "the end of the restarted run decides")
 	f.answer("w2", platform.PollReply{Ended: []platform.EndedRow{ended(1, again[0], platform.EndDone)}})
 	require.Equal(t, platform.StateSucceeded, f.state())
 	f.pass(2 * time.Second)
--- a/job/follow_slow_test.go
+++ b/job/follow_slow_test.go
@@ -18,11 +18,11 @@
 	"amberway/platform"
 )
 
-// slowStore answers watches over a link that takes a while for the one change there is.
+// slowStore is a store behind a slow link. Its watches return one change.
 type slowStore struct {
 	lists, watches atomic.Int64
-	// takes is how long the change is on its way, and stalls whether its second half never
-	// comes.
+	// takes is how long it takes to send the change, stalls whether its second half is
+	// never sent.
 	takes  time.Duration
 	stalls bool
 }
@@ -51,7 +51,8 @@
 	}
 }
 
-// followSlow follows the store until a change came, and returns the time that took.
+// followSlow follows the store until a change arrives, and returns how long that took, or
+// zero if none arrives.
 func followSlow(t *testing.T, s *slowStore) time.Duration {
 	t.Helper()
 	h := httptest.NewServer(s)
@@ -75,12 +76,10 @@
 	return took
 }
 
-// TestSlowlyReadConfigurationIsReadOnce tells how an owner behind a narrow link lost
-// its lease and most workers for five seconds and more. A configuration of 1,163 queues takes
-// longer over 2 Mbit/s than a watch was given, so that the watch was given up in the middle,
-// and the configuration was read again from its beginning. All that kept the link full: the
-// answers of workers and of the owner's own renewals came late ("lease not renewed", "cut
-// off"), other entry hosts had the configuration in force five seconds before the owner.
+// A configuration of 1,163 queues takes longer over 2 Mbit/s than the timeout of a watch. If
+// the watch is cut off in the middle and the configuration read again from its beginning, the
+// link stays full. Answers of workers and of renewals are then late: an owner lost its lease
+// and most workers, and had the configuration in force five seconds after other entry hosts.
 func TestSlowlyReadConfigurationIsReadOnce(t *testing.T) {
 	s := &slowStore{takes: time.Second}
 	require.Positive(t, followSlow(t, s), "no change was read")
@@ -88,7 +87,7 @@
 	require.EqualValues(t, 1, s.watches.Load(), "watches")
 }
 
-// A watch that brings nothing more is given up all the same.
+// A watch whose answer stops arriving times out all the same.
 func TestStalledWatchTimesOut(t *testing.T) {
 	s := &slowStore{takes: 200 * time.Millisecond, stalls: true}
 	require.Zero(t, followSlow(t, s))
--- a/job/follow_test.go
+++ b/job/follow_test.go
@@ -14,7 +14,7 @@
 	"amberway/platform"
 )
 
-// seen are the values of one key that a follower was told of.
+// seen holds the values of one key that a follower has read.
 type seen struct {
 	mu     sync.Mutex
 	values []string
@@ -26,7 +26,7 @@
 	s.values = append(s.values, string(e.Value))
 }
 
-// count returns how many values there were, and the last one.
+// count returns the number of values, and the last one.
 func (s *seen) count() (int, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,10 +36,10 @@
 	return len(s.values), s.values[len(s.values)-1]
 }
 
-// Operators may change the configuration a dozen times a second. Each version is written
-// whole, some 80 kB with 250 queues, and a watch brings each of them: on a link of 2 Mbit/s
-// 25 versions took eight seconds, and jobs of queues that were there were refused as
-// unknown. Only the newest version counts.
+// Operators may change the configuration a dozen times a second. Each version is a whole
+// document, some 80 kB with 250 queues, and a watch returns all of them: over 2 Mbit/s 25
+// versions took eight seconds, during which jobs for new queues were refused because the
+// queue was unknown. Only the newest version matters.
 func TestSupersededVersionsAreNotRead(t *testing.T) {
 	const versions, answer = 40, 100 * time.Millisecond
 	s := newStoreFixture(t)
@@ -68,12 +68,12 @@
 	last := fmt.Sprint(versions)
 	require.Eventually(t, func() bool { _, v := got.count(); return strings.TrimSpace(v) == last }, 10*answer, time.Millisecond)
 	n, _ := got.count()
-	require.Less(t, n, versions/2, "values that were read")
+	require.Less(t, n, versions/2, "number of values read")
 }
 
-// A watch that was not answered in time is not made again from where it was: what has
-// changed since grows, until no answer comes through any more. On a link of 2 Mbit/s three
-// of 16 entry hosts were left behind for twenty seconds, until the store forgot.
+// If a watch that timed out is repeated from the same revision, its answer grows with each
+// change, until none is read in time any more: over 2 Mbit/s three of 16 entry hosts stayed
+// behind for twenty seconds, until the store compacted its history.
 func TestFailedWatchIsFollowedByAList(t *testing.T) {
 	s := newStoreFixture(t)
 	require.NoError(t, s.Put(platform.ConfigKey, 0))
@@ -90,7 +90,7 @@
 		select {
 		case <-lists:
 		case <-time.After(2 * time.Second):
-			t.Fatal("watched again, and again in vain")
+			t.Fatal("the follower repeats the watch instead of listing")
 		}
 	}
 }
--- a/job/node_test.go
+++ b/job/node_test.go
@@ -40,6 +40,7 @@
 	require.False(t, n.Ready())
 }
 
+// A caller's deadline of 10 ms leaves too little time to write the job.
 func TestCallerWithTooLittleTimeIsRefusedAtOnce(t *testing.T) {
 	n := newTestNode(t, newStoreFixture(t))
 	n.routes.Store(newRoutes(testConfig()))
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -16,7 +16,7 @@
 	"amberway/platform"
 )
 
-// storeFixture is a store over HTTP with its client.
+// storeFixture is a store that is served over HTTP, with a client of it.
 type storeFixture struct {
 	*fleet.Store
 	kv *platform.KV
@@ -32,7 +32,7 @@
 
 func neverSuspended() time.Duration { return 0 }
 
-// claim makes an owner of the name.
+// claim claims ownership for a host of the name, and returns its owner.
 func (s storeFixture) claim(t *testing.T, name string) *owner {
 	e := newElection(s.kv, Owner{Name: name}, Size{Cores: 1}, nil, time.Now, neverSuspended)
 	n, err := e.claim(t.Context())
@@ -51,7 +51,7 @@
 	require.NoError(t, s.Put(recordKey(id), r))
 }
 
-// accepted returns the jobs among the events that wait.
+// accepted returns the jobs accepted by the events that wait.
 func (o *owner) accepted() []ID {
 	var l []ID
 	for len(o.events) > 0 {
@@ -77,8 +77,8 @@
 	require.Equal(t, []ID{idA}, old.accepted())
 }
 
-// A watch that the store has cut without a word holds jobs back for a second, not
-// for as long as calls to the store may take.
+// A watch that the store never answers delays jobs by a second, not by the timeout of other
+// calls to the store.
 func TestOwnerLearnsOfJobsSoonAfterASilentWatch(t *testing.T) {
 	s := newStoreFixture(t)
 	o := s.claim(t, "owner")
@@ -95,11 +95,11 @@
 		require.True(t, ok, "%T", e)
 		require.Equal(t, ID(idA), a.ID)
 	case <-time.After(1500 * time.Millisecond):
-		t.Fatal("the owner still waits for the mute watch")
+		t.Fatal("the owner still waits for the silent watch")
 	}
 }
 
-// What is to be taken over is read at once: each answer of a slow store takes long.
+// The lists of a takeover are read in parallel, since each answer of a slow store takes long.
 func TestTakeoverFromASlowStoreTakesFewRoundTrips(t *testing.T) {
 	s := newStoreFixture(t)
 	s.putJob(t, idA)
@@ -112,7 +112,7 @@
 	require.NoError(t, err)
 	require.Len(t, e.Jobs, 1)
 	require.Len(t, e.Waves, 1)
-	require.Less(t, time.Since(begun), 5*answer, "reads after each other: at most two and the last one's check")
+	require.Less(t, time.Since(begun), 5*answer, "more round trips than two reads and the check of ownership")
 }
 
 func TestReplacedOwnerThatRelistsSeesNoJob(t *testing.T) {
@@ -190,11 +190,11 @@
 	o.post(WorkerListed{Worker: testWorker("w1")})
 	o.loop(ctx)
 	require.Equal(t, whyStoreUnreachable, o.resignReason)
-	require.Empty(t, o.events, "a look was sent and has failed")
+	require.Empty(t, o.events, "a poll was sent and has failed")
 }
 
-// campaign has a host of the size wait for ownership, and returns its name on
-// the channel if it owns.
+// campaign has a host of the size campaign for ownership, and sends its name on the channel
+// once it is the owner.
 func (s storeFixture) campaign(t *testing.T, name string, z Size, won chan<- string) {
 	e := newElection(s.kv, Owner{Name: name}, z, nil, time.Now, neverSuspended)
 	go e.follow(t.Context())
@@ -223,7 +223,7 @@
 	}
 }
 
-// TestHostOfUnknownLinkClaimsByItsCores has settings that tell neither link nor memory.
+// Link and memory that the settings leave unknown do not reduce a host's fitness.
 func TestHostOfUnknownLinkClaimsByItsCores(t *testing.T) {
 	require.InDelta(t, 1, Size{Cores: 0.4}.fitness(), 0)
 	require.InDelta(t, 0.5, Size{Cores: 0.2}.fitness(), 1e-9)
@@ -238,27 +238,26 @@
 	case n := <-won:
 		require.Equal(t, "small", n)
 	case <-time.After(smallHostDelay + 5*time.Second):
-		t.Fatal("nobody owns")
+		t.Fatal("no host has become the owner")
 	}
 }
 
-// TestCancelDuringATakeoverIsSeenBeforeTasksStart tells how tasks of a cancelled job
-// were started 7.6 s after the cancel was acknowledged. An owner behind a narrow link read what
-// it took over for 7.7 s, one list after the other, the jobs first: "takes over", "took_ms":
-// 7717. The job was in the list, its mark came after it had been read. The owner started the
-// tasks 0.7 s after it had read all, before its watch had brought what came meanwhile.
+// An owner behind a narrow link reads the lists of a takeover one after the other, the jobs
+// first, which may take 7.7 s. A job that is cancelled after its list was read must not be
+// started before the watch has returned its cancel mark: without catching up, its tasks were
+// started 7.6 s after the cancel was acknowledged.
 //
-// The mark is set here as the owner asks for the list that follows the jobs'.
+// The mark is written here when the owner requests the list that follows the jobs.
 func TestCancelDuringATakeoverIsSeenBeforeTasksStart(t *testing.T) {
 	s := fleet.NewStore()
 	f := storeFixture{Store: s}
-	stored := s.Handler()
+	storeHandler := s.Handler()
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("prefix") == progressPrefix {
 			_ = s.Put(cancelKey(idA), struct{}{})
 			f.putJob(t, idB)
 		}
-		stored.ServeHTTP(w, r)
+		storeHandler.ServeHTTP(w, r)
 	}))
 	t.Cleanup(h.Close)
 	f.kv = platform.NewKV(netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://")), &platform.Calls{})
@@ -273,5 +272,5 @@
 	defer cancel()
 	ctx, o.cancel = context.WithCancel(ctx)
 	o.followJobs(ctx, from.jobs)
-	require.Empty(t, o.accepted(), "what was read is not read again")
+	require.Empty(t, o.accepted(), "the watch starts after the changes that were caught up")
 }
--- a/job/roster_test.go
+++ b/job/roster_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// written returns how many bytes of values were to be written since the last call.
+// written returns the size of the values in all writes since the last call.
 func (f *fixture) written() int {
 	n := 0
 	for _, a := range f.out {
@@ -24,8 +24,7 @@
 	return n
 }
 
-// TestOnlyChangedRosterShardsAreWritten adds a worker to many: written whole, the roster of
-// 400 takes 30 kB for each that comes or goes.
+// Written as a whole, a roster of 400 workers takes 30 kB for each worker that comes or goes.
 func TestOnlyChangedRosterShardsAreWritten(t *testing.T) {
 	f := newFixture(t)
 	var l []platform.Worker
@@ -42,8 +41,8 @@
 	require.Less(t, f.written(), whole/10)
 }
 
-// TestNextOwnerDoesNotRewriteAnUnchangedRoster has an owner take over what the one before
-// has written: workers that are named as they are may get starts at once.
+// Workers whose entries in the previous owner's roster are up to date may get starts at once,
+// before this owner has written anything.
 func TestNextOwnerDoesNotRewriteAnUnchangedRoster(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
@@ -60,15 +59,14 @@
 	l := next.starts()
 	require.Len(t, l, 8, "two workers of four cores")
 	for _, r := range l {
-		require.NotEqual(t, platform.WorkerID("w3"), r.Worker.ID, "no next owner would know of it")
+		require.NotEqual(t, platform.WorkerID("w3"), r.Worker.ID, "the next owner would not know of w3")
 	}
 	next.step(WriteResult{Number: next.core.writeNumber})
 	next.pass(tickEvery)
 	require.Len(t, next.starts(), 4)
 }
 
-// TestLegacyRosterIsConverted reads the one value that was kept before there
-// were parts, and replaces it.
+// Earlier versions stored the roster as one value, which is replaced by shards.
 func TestLegacyRosterIsConverted(t *testing.T) {
 	b := `{"w":[{"i":"w1","s":"blue","a":"10.0.0.1:80","h":"host-of-w1"}],"o":["host-of-w9"]}`
 	r := readRoster([]platform.Entry{{Key: legacyRosterKey, Value: []byte(b)}, {Key: writeKey, Value: []byte("7.1")}})
@@ -81,7 +79,7 @@
 	require.True(t, f.roster().has("w1"))
 }
 
-// TestFailedRosterWriteIsRetried loses a write that holds parts of it.
+// The failed write holds a shard of the roster.
 func TestFailedRosterWriteIsRetried(t *testing.T) {
 	f := newFixture(t)
 	f.holdWrites = true
@@ -94,8 +92,8 @@
 	require.True(t, f.core.workers["w1"].inRoster)
 }
 
-// TestWriteHoldsAsManyJobsAsFit has 25 jobs of which one task each has ended:
-// they take an entry each, a final job three.
+// Of 25 jobs one task each has ended. Each takes one entry of the write, where a final job
+// takes three.
 func TestWriteHoldsAsManyJobsAsFit(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -11,10 +11,10 @@
 	"amberway/platform"
 )
 
-// TestHostWithUnwrittenEndsStaysInTheRoster has a store that takes a write
-// now and then, while many jobs end: a host that idles meanwhile is to be given back.
-// A next owner that does not find it in the roster would start its tasks anew, although
-// the host goes on telling that they have ended.
+// A host that is idle gets an order to another pool while the store, which accepts a write
+// only now and then, does not hold all ends on it yet. If the next owner did not find the
+// host in the roster, it would start these tasks again, although the host still reports that
+// they have ended.
 func TestHostWithUnwrittenEndsStaysInTheRoster(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -40,11 +40,11 @@
 	require.True(t, f.core.workers["w1"].hasUnstoredEnds())
 	f.core.recordOrder(f.core.machinesByName["host-of-w1"], &machineOrder{pool: "spare"})
 	f.pass(100 * time.Millisecond)
-	require.True(t, f.roster().has("w1"), "the write holds the ends of some jobs only")
+	require.True(t, f.roster().has("w1"), "the write holds the ends of only some jobs")
 }
 
-// TestLastingRunWithUnansweredStartIsNotStoppedBeforeAPoll has an owner whose answers
-// come late: the run that it does not know of may be at work long since.
+// A start whose answer was lost may have been carried out long ago: stopping the run could
+// leave fewer tasks at work than the step allows.
 func TestLastingRunWithUnansweredStartIsNotStoppedBeforeAPoll(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
@@ -57,14 +57,14 @@
 		f.step(StartResult{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknown})
 	}
 	f.pass(settleAfter + 100*time.Millisecond)
-	require.Empty(t, f.stops(), "both may be at work")
+	require.Empty(t, f.stops(), "both runs may be at work")
 	f.answer(string(l[0].Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100), runningRow(l[1], 100)}})
 	f.pass(settleAfter + 100*time.Millisecond)
-	require.Empty(t, f.stops(), "both are")
+	require.Empty(t, f.stops(), "both runs are at work")
 }
 
-// TestAbsentLastingRunIsStoppedAfterALostAnswer settles an order that may be
-// carried out late: a stop makes it impossible, once a look shows that it ends nothing.
+// A start whose answer was lost may be carried out late. A stop rules that out; it is sent
+// once a poll shows that the run is not there, so that the stop ends nothing.
 func TestAbsentLastingRunIsStoppedAfterALostAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
