--- a/job/node.go
+++ b/job/node.go
@@ -33,7 +33,7 @@
 	KeysWithin time.Duration
 }
 
-// DefaultConfigWithin is the limit that platforms have required so far.
+// DefaultConfigWithin is the limit that the known platforms require.
 const DefaultConfigWithin = 2 * time.Second
 
 // Node handles the jobs of one entry host: it accepts jobs, tells their state, and is the
--- a/job/owner.go
+++ b/job/owner.go
@@ -19,7 +19,7 @@
 	// time to live.
 	renewEvery = ownerTTL / 4
 	// renewTimeout bounds one renewal. Half of it goes to a kept connection, the rest to
-	// a new one. A renewal is sent each renewEvery, whether or not the last was answered,
+	// a new one. A renewal is sent every renewEvery, whether or not the last was answered,
 	// on a connection of its own, so that the lease is renewed in time even if a silent
 	// connection costs one of them its first half. A shorter half would take answers that
 	// a full link delays for silence: each of them cost a new connection, which was
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -245,7 +245,7 @@
 // An owner behind a narrow link reads the lists of a takeover one after the other, the jobs
 // first, which may take 7.7 s. A job that is cancelled after its list was read must not be
 // started before the watch has returned its cancel mark: without catching up, its tasks were
-// started 7.6 s after the cancel was acknowledged.
+// started 0.7 s after the lists were read, and 7.6 s after the cancel was acknowledged.
 //
 // The mark is written here when the owner requests the list that follows the jobs.
 func TestCancelDuringATakeoverIsSeenBeforeTasksStart(t *testing.T) {
--- a/job/progress.go
+++ b/job/progress.go
@@ -94,10 +94,10 @@
 	Complete bool           `json:"w,omitempty"`
 }
 
-// TaskFailures holds the failures of one task. Runs are the numbers of its failed runs:
-// until a worker has an acknowledgement, it reports an end to the next owner as well, which
-// must not count it twice. Crashes counts the workers that crashed while they ran the task,
-// which are not reported again.
+// TaskFailures holds the failures of one task. Runs are the numbers of its failed runs: until
+// an end is acknowledged, the worker reports it to the next owner as well, which must not
+// count it twice. Crashes counts the workers that crashed while they ran the task, which are
+// not reported again.
 type TaskFailures struct {
 	Step    int     `json:"s"`
 	Index   int     `json:"i"`
