--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -25,8 +25,8 @@
 	for i := range manyJobs {
 		s := oneTask()
 		s.MilliCores = 100
-		never := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
-		f.submit(fmt.Sprintf("%016x", i), "quick", s, never)
+		unplaceable := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
+		f.submit(fmt.Sprintf("%016x", i), "quick", s, unplaceable)
 		f.pass(tickEvery)
 		for _, s := range f.starts() {
 			f.took(s)
@@ -44,7 +44,7 @@
 }
 
 // A start whose answer was lost may have been carried out long ago: stopping the run could
-// leave fewer tasks at work than the step allows.
+// leave fewer tasks ready than the step allows.
 func TestLastingRunWithUnansweredStartIsNotStoppedBeforeAPoll(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
@@ -57,10 +57,10 @@
 		f.step(StartResult{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknown})
 	}
 	f.pass(settleAfter + 100*time.Millisecond)
-	require.Empty(t, f.stops(), "both runs may be at work")
+	require.Empty(t, f.stops(), "both runs may be ready")
 	f.answer(string(l[0].Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100), runningRow(l[1], 100)}})
 	f.pass(settleAfter + 100*time.Millisecond)
-	require.Empty(t, f.stops(), "both runs are at work")
+	require.Empty(t, f.stops(), "both runs are ready")
 }
 
 // A start whose answer was lost may be carried out late. A stop rules that out; it is sent
