--- a/job/roster_test.go
+++ b/job/roster_test.go
@@ -99,10 +99,10 @@
 	f.join("w1")
 	s := oneTask()
 	s.MilliCores = 100
-	unplaceable := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
+	tooLarge := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
 	var rows []platform.EndedRow
 	for i := range 25 {
-		f.submit(fmt.Sprintf("%016x", i), "quick", s, unplaceable)
+		f.submit(fmt.Sprintf("%016x", i), "quick", s, tooLarge)
 		for _, l := range f.starts() {
 			f.took(l)
 			rows = append(rows, ended(int64(i+1), l, platform.EndDone))
--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -25,8 +25,8 @@
 	for i := range manyJobs {
 		s := oneTask()
 		s.MilliCores = 100
-		unplaceable := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
-		f.submit(fmt.Sprintf("%016x", i), "quick", s, unplaceable)
+		tooLarge := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
+		f.submit(fmt.Sprintf("%016x", i), "quick", s, tooLarge)
 		f.pass(tickEvery)
 		for _, s := range f.starts() {
 			f.took(s)
