--- a/request/admission.go
+++ b/request/admission.go
@@ -70,7 +70,7 @@
 	return time.Duration(float64(work) / max(slots, 1))
 }
 
-// serviceSlots returns the slots of the targets that can run the service.
+// serviceSlots returns the slots of the targets that run the service.
 func (s *Scheduler) serviceSlots(p *pool, v *service) int {
 	if !v.Placed {
 		return p.slots
@@ -104,10 +104,10 @@
 
 // minVirtualTime returns the least virtual time of the other services that have requests
 // waiting. A service that was idle starts from there, without credit for its idle time.
-func (p *pool) minVirtualTime(but *service) float64 {
+func (p *pool) minVirtualTime(except *service) float64 {
 	least := -1.0
 	for _, v := range p.services {
-		if v == but || v.idle() {
+		if v == except || v.idle() {
 			continue
 		}
 		if least < 0 || v.virtualTime < least {
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -32,7 +32,7 @@
 	err   error
 }
 
-// connInfo says when a request got its connection and whether that was reused.
+// connInfo says when a request got its connection and whether the connection was reused.
 type connInfo struct {
 	at time.Time
 	// reused says that the connection has carried earlier requests.
@@ -169,16 +169,16 @@
 // detach lets the attempt go on without its caller. The error's Done channel closes when
 // it has ended.
 func (t *attempt) detach(ctx context.Context) error {
-	over := make(chan struct{})
-	end := time.AfterFunc(detachedRunTimeout, t.cancel)
+	ended := make(chan struct{})
+	timeout := time.AfterFunc(detachedRunTimeout, t.cancel)
 	go func() {
-		defer close(over)
+		defer close(ended)
 		<-t.done
 		t.discard()
-		end.Stop()
+		timeout.Stop()
 		t.release()
 	}()
-	return &AttemptError{Sent: true, Cause: context.Cause(ctx), Done: over}
+	return &AttemptError{Sent: true, Cause: context.Cause(ctx), Done: ended}
 }
 
 // discard reads the remainder of an answer that nobody waits for.
--- a/request/callerconn.go
+++ b/request/callerconn.go
@@ -84,13 +84,13 @@
 	return k.idle
 }
 
-// markIdle records that the connection waits for its next request, which the caller may
-// send for the time that it was told.
-func (k *callerConn) markIdle(keep time.Duration) {
+// markIdle records that the connection waits for its next request. The caller was told
+// that it may send one within the given time.
+func (k *callerConn) markIdle(keepAlive time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.idle, k.idleSince = true, time.Now()
-	k.keepUntil = k.idleSince.Add(keep)
+	k.keepUntil = k.idleSince.Add(keepAlive)
 }
 
 // markBusy records that a request has begun. One that arrived after the deadline, or on a
@@ -110,7 +110,7 @@
 }
 
 // closeIfIdle asks the reader to close the connection if it is idle and its caller may no
-// longer use it. It returns since when the connection is idle.
+// longer use it. It returns since when the connection has been idle.
 func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, idle bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -183,9 +183,9 @@
 // request that was on its way on one of them.
 type IdleReport struct {
 	Closed int
-	// LastClosedAt is when the last of them was closed. OldestIdleSince and
-	// NewestIdleSince are since when the ones that were idle the longest and the shortest
-	// had been idle.
+	// LastClosedAt is when the last of them was closed. OldestIdleSince is since when the
+	// one that was idle for longest had been idle, NewestIdleSince the one that was idle
+	// for the shortest time.
 	LastClosedAt, OldestIdleSince, NewestIdleSince time.Time
 	// ServedLate is how many others were closing when a request arrived, which was
 	// served.
@@ -203,7 +203,7 @@
 	r.Closed++
 }
 
-// trackingListener wraps accepted connections in callerConns.
+// trackingListener wraps each accepted connection in a callerConn.
 type trackingListener struct {
 	*CallerListener
 	conns *callerConns
--- a/request/callerlistener.go
+++ b/request/callerlistener.go
@@ -13,9 +13,9 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// CallerListener is a TCP listener that loses no connection when it is closed. Otherwise
-// the kernel resets connections that are established but not yet accepted, with the
-// requests that they already carry.
+// CallerListener is a TCP listener that loses no connection when it is closed. With a
+// plain listener, the kernel resets the connections that are established but not yet
+// accepted, with the requests that they already carry.
 type CallerListener struct {
 	*net.TCPListener
 	// dupFD is a second descriptor of the socket, which keeps listening until it is
@@ -42,13 +42,13 @@
 	}
 	t, ok := l.(*net.TCPListener)
 	if !ok {
-		return nil, merry.Errorf("%T is no TCP listener", l)
+		return nil, merry.Errorf("%T is not a TCP listener", l)
 	}
-	last, err := duplicate(t)
+	dup, err := duplicate(t)
 	if err != nil {
 		return nil, errors.Join(err, t.Close())
 	}
-	return &CallerListener{TCPListener: t, dupFD: last}, nil
+	return &CallerListener{TCPListener: t, dupFD: dup}, nil
 }
 
 // duplicate returns a second descriptor of the listener's socket.
@@ -57,15 +57,15 @@
 	if err != nil {
 		return 0, err
 	}
-	last, failed := 0, error(nil)
+	dup, failed := 0, error(nil)
 	err = r.Control(func(fd uintptr) {
-		last, failed = syscall.Dup(int(fd))
+		dup, failed = syscall.Dup(int(fd))
 	})
 	if err = errors.Join(err, failed); err != nil {
 		return 0, err
 	}
-	syscall.CloseOnExec(last)
-	return last, nil
+	syscall.CloseOnExec(dup)
+	return dup, nil
 }
 
 // Accept returns the next connection. After Close it returns those that were established
@@ -99,13 +99,13 @@
 		return net.ErrClosed
 	}
 	l.closed = true
-	begun := time.Now()
+	blockedAt := time.Now()
 	l.handshakes = l.awaitHalfOpen()
 	err := l.TCPListener.Close()
-	waited := acceptAndClose(l.dupFD)
-	l.handshakes.AwaitedAccept = len(waited)
-	l.handshakes.BlockedAt, l.handshakes.ClosedAt = begun, time.Now()
-	for _, fd := range waited {
+	fds := acceptAndClose(l.dupFD)
+	l.handshakes.AwaitedAccept = len(fds)
+	l.handshakes.BlockedAt, l.handshakes.ClosedAt = blockedAt, time.Now()
+	for _, fd := range fds {
 		c, failed := connFromFD(fd)
 		if failed != nil {
 			err = errors.Join(err, failed)
--- a/request/callers.go
+++ b/request/callers.go
@@ -16,8 +16,8 @@
 const (
 	// headerTimeout bounds the reading of a request's headers.
 	headerTimeout = 10 * time.Second
-	// quietPollInterval is the time between two polls for new requests. Polls are
-	// counted, not the time, so that a process that was stalled does not conclude that
+	// quietPollInterval is the time between two polls for new requests. Polls are counted
+	// rather than timed, so that a process that was stalled does not conclude that
 	// callers are quiet while their requests still wait to be read.
 	quietPollInterval = 25 * time.Millisecond
 	// quietPolls is how many polls in a row must find no new request: together about ten
@@ -63,9 +63,10 @@
 
 // NewCallerServer returns a server for the handler. Answers tell callers for how long
 // they may use an idle connection, in whole seconds; KeepAliveTimeout returns what a stop
-// can honour. If they are told nothing, a stop waits for idleGrace.
-func NewCallerServer(h http.Handler, keep, pause time.Duration) *CallerServer {
-	c := &CallerServer{handler: h, conns: newCallerConns(), keepAliveTimeout: keep.Truncate(time.Second), idleGrace: pause, serveDone: make(chan struct{})}
+// can honour. During a stop, an idle connection stays open for idleGrace, and for as long
+// as its caller was told.
+func NewCallerServer(h http.Handler, keepAlive, idleGrace time.Duration) *CallerServer {
+	c := &CallerServer{handler: h, conns: newCallerConns(), keepAliveTimeout: keepAlive.Truncate(time.Second), idleGrace: idleGrace, serveDone: make(chan struct{})}
 	if c.keepAliveTimeout > 0 {
 		c.keepAliveHeader = fmt.Sprintf("timeout=%d", c.keepAliveTimeout/time.Second)
 	}
@@ -73,8 +74,8 @@
 	return c
 }
 
-// KeepAliveTimeout returns the least time for which an idle connection stays open in a
-// stop that delays first and has to end within a time.
+// KeepAliveTimeout returns for how long an idle connection surely stays open in a stop
+// that takes requests as usual for a delay, and has to end within the given time.
 func KeepAliveTimeout(delay, within time.Duration) time.Duration {
 	return min(IdleGrace, within, delay+(within-delay)/idleTimeDivisor)
 }
@@ -186,18 +187,18 @@
 	return r, nil
 }
 
-// boundedWait returns how long a wait may take: at most its part of the time left, and at
-// most the given time.
-func boundedWait(ctx context.Context, most time.Duration, part int) time.Duration {
+// boundedWait returns how long a wait may take: the limit, or the time left divided by
+// the divisor if that is less.
+func boundedWait(ctx context.Context, limit time.Duration, divisor int) time.Duration {
 	end, bounded := ctx.Deadline()
 	if !bounded {
-		return most
+		return limit
 	}
-	return min(most, time.Until(end)/time.Duration(part))
+	return min(limit, time.Until(end)/time.Duration(divisor))
 }
 
-// waitQuiet waits until no caller has begun a request or connection for quietPolls polls.
-// It reports whether that happened in time.
+// waitQuiet waits until quietPolls polls in a row find no new connection or request. It
+// reports whether that happened in time.
 func (c *CallerServer) waitQuiet(ctx context.Context, within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, boundedWait(ctx, within, quietTimeDivisor))
 	defer cancel()
--- a/request/choice.go
+++ b/request/choice.go
@@ -44,11 +44,11 @@
 	if patient != nil && !s.canStartPatient(p) {
 		patient = nil
 	}
-	turn := p.virtualTime[common.Patient] < p.virtualTime[common.Quick]
+	patientBehind := p.virtualTime[common.Patient] < p.virtualTime[common.Quick]
 	switch {
 	case quick == nil && patient == nil:
 		return nil, 0, false
-	case quick == nil || (patient != nil && turn):
+	case quick == nil || (patient != nil && patientBehind):
 		return patient, common.Patient, true
 	}
 	return quick, common.Quick, true
@@ -79,8 +79,8 @@
 // canStartPatient reports whether the slots reserved for quick requests stay free if one
 // more patient request starts. A pool with one slot reserves none.
 func (s *Scheduler) canStartPatient(p *pool) bool {
-	most := p.slots - int(float64(p.slots)*s.policy.QuickReserve+0.5)
-	return p.busy[common.Patient] < max(most, 1)
+	limit := p.slots - int(float64(p.slots)*s.policy.QuickReserve+0.5)
+	return p.busy[common.Patient] < max(limit, 1)
 }
 
 // hasFreeTarget reports whether pickTarget finds a target for the service.
@@ -93,13 +93,13 @@
 	return len(p.free) > 0 || (ok && t.probeDue(now))
 }
 
-// probeDue reports whether an quarantined target may be probed.
+// probeDue reports whether a quarantined target may be probed.
 func (t *target) probeDue(now time.Time) bool {
 	return !now.Before(t.quarantinedUntil) && t.busy < t.Slots
 }
 
 // pickTarget returns a free target for a service that has one. A target that is due for a
-// probe comes first, and true is returned with it; otherwise the better of two random
+// probe comes first; true is returned with it. Otherwise it is the better of two random
 // targets.
 func (s *Scheduler) pickTarget(now time.Time, p *pool, v *service) (*target, bool) {
 	if v.Placed {
@@ -117,8 +117,8 @@
 	return a, false
 }
 
-// pickPlacedTarget returns the cheapest free target of those that hold the service; or
-// one that is due for a probe, and true. There are as many as the job has replicas.
+// pickPlacedTarget returns the cheapest free target of those that run the service, or one
+// that is due for a probe, and true. They are as many as the job has replicas.
 func (s *Scheduler) pickPlacedTarget(now time.Time, v *service) (*target, bool) {
 	var best *target
 	for _, n := range v.Targets {
@@ -136,7 +136,7 @@
 	return best, false
 }
 
-// beginProbe takes an quarantined target off the heap for its probe. It always returns
+// beginProbe takes a quarantined target off the heap for its probe. It always returns
 // true.
 func (p *pool) beginProbe(t *target) bool {
 	p.quarantined.Remove(t.heapEntry)
--- a/request/claimer.go
+++ b/request/claimer.go
@@ -24,8 +24,8 @@
 const (
 	// claimShards is the number of logs that claims are sharded over.
 	claimShards = 8
-	// segmentWritesPerSecond is the rate of segment writes of all shards together, out of
-	// the platform's 100 writes a second.
+	// segmentWritesPerSecond is the most segments that all shards together write in a
+	// second, out of the 100 writes a second that the platform takes.
 	segmentWritesPerSecond = 60
 	// ownerCallTimeout bounds one call to a shard's owner: time for several batches at
 	// the shard's share of the writes.
@@ -106,8 +106,9 @@
 	return ClaimUnknown
 }
 
-// tryClaim calls the shard's owner, or writes to the log itself if the owner has not
-// answered.
+// tryClaim calls the shard's owner. It writes to the log itself if this process is the
+// owner, if the owner is not alive, or after n >=
+// maxRemoteTries.
 func (c *Claimer) tryClaim(ctx context.Context, k Claim, n int) (ClaimOutcome, error) {
 	s := ShardOf(k.ID)
 	owner := common.First(shardPrefix(s), c.members.LiveNames(""))
@@ -164,8 +165,8 @@
 	defer c.mu.Unlock()
 	s, ok := c.shards[n]
 	if !ok {
-		per := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
-		s = newShard(claimStore{c.store, n}, per, c.deps.Now, c.logger, func() { c.SegmentsWritten.Add(1) })
+		perSecond := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
+		s = newShard(claimStore{c.store, n}, perSecond, c.deps.Now, c.logger, func() { c.SegmentsWritten.Add(1) })
 		c.shards[n] = s
 		go s.run(c.ctx)
 	}
--- a/request/claimlog.go
+++ b/request/claimlog.go
@@ -70,8 +70,8 @@
 }
 
 // ClaimLog holds one shard's claims as far as this process has read them. It has no clock
-// and does no I/O. The segments of the log are keys in the platform's store, numbered
-// without gaps and each created by compare-and-swap: whoever creates one has read all
+// and does no I/O. Each segment of the log is a key in the platform's store, created by
+// compare-and-swap under the number after the last: whoever creates one has read all
 // before it.
 type ClaimLog struct {
 	// last is the number of the last segment read.
--- a/request/claimshard.go
+++ b/request/claimshard.go
@@ -51,16 +51,16 @@
 	onCommit func()
 }
 
-func newShard(s claimStore, perSecond rate.Limit, now func() time.Time, out common.Log, commits func()) *shard {
+func newShard(s claimStore, perSecond rate.Limit, now func() time.Time, logger common.Log, onCommit func()) *shard {
 	return &shard{
 		store:      s,
 		log:        NewClaimLog(),
 		limiter:    rate.NewLimiter(perSecond, 2),
 		queue:      make(chan pendingClaim, 4*maxBatchClaims),
 		now:        now,
-		logger:     out,
+		logger:     logger,
 		retryDelay: claimRetryDelay,
-		onCommit:   commits,
+		onCommit:   onCommit,
 	}
 }
 
@@ -101,8 +101,7 @@
 	return l
 }
 
-// commit answers the claims of the batch, with ClaimUnknown where the log cannot be
-// written.
+// commit answers the claims of the batch, with ClaimUnknown if they could not be written.
 func (s *shard) commit(ctx context.Context, l []pendingClaim) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -126,7 +125,7 @@
 // answerDecided answers the claims that the log settles and drops those that nobody waits
 // for, so that their ids stay free for a caller that retries. It returns the others.
 func (s *shard) answerDecided(l []pendingClaim) []pendingClaim {
-	var open []pendingClaim
+	var undecided []pendingClaim
 	now := s.now()
 	for _, p := range l {
 		o, ok := s.log.Decide(now, p.claim)
@@ -134,13 +133,13 @@
 			p.done <- o
 			continue
 		}
-		open = append(open, p)
+		undecided = append(undecided, p)
 	}
-	return open
+	return undecided
 }
 
-// writeSegment writes the claims as the next segment of the log, or first reloads a log
-// that is out of date.
+// writeSegment writes the claims as the next segment of the log. If the log is out of
+// date, it is reloaded instead, and the next try writes.
 func (s *shard) writeSegment(ctx context.Context, l []pendingClaim) error {
 	if !s.log.UpToDate(s.now()) {
 		return s.reload(ctx)
--- a/request/claimstore.go
+++ b/request/claimstore.go
@@ -45,13 +45,13 @@
 func decodeSegment(b []byte) (Segment, error) {
 	var p requestpb.Segment
 	if err := proto.Unmarshal(b, &p); err != nil {
-		return Segment{}, merry.Prepend(err, "claims: segment")
+		return Segment{}, merry.Prepend(err, "claims: decoding a segment")
 	}
 	s := Segment{Write: p.GetWrite(), Committed: p.GetCommitted().AsTime()}
 	for _, c := range p.GetClaims() {
 		id, err := uuid.FromBytes(c.GetId())
 		if err != nil {
-			return Segment{}, merry.Prepend(err, "claims: segment")
+			return Segment{}, merry.Prepend(err, "claims: decoding a segment")
 		}
 		s.Claims = append(s.Claims, Claim{ID: id, Attempt: c.GetAttempt()})
 	}
--- a/request/dispatcher.go
+++ b/request/dispatcher.go
@@ -31,8 +31,8 @@
 	d.startReady()
 }
 
-// StartReady starts the requests that can start because time has passed: an quarantined
-// target is due for a probe.
+// StartReady starts the requests that can start because time has passed: a quarantined
+// target may have become due for a probe.
 func (d *Dispatcher) StartReady() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,9 +145,9 @@
 // the target no more work until SetTargets names it again: without load it would be the
 // cheapest. Whether it is removed is checked again under the lock: an update that brings
 // it back may have been applied meanwhile, and the next one may come much later.
-func (d *Dispatcher) TargetRemoved(i *Item, left func() bool) {
+func (d *Dispatcher) TargetRemoved(i *Item, removed func() bool) {
 	d.Update(func(s *Scheduler) {
-		if left() {
+		if removed() {
 			s.RemoveTarget(i.Target)
 		}
 		s.Done(d.now(), i, Outcome{Cancelled: true})
@@ -170,6 +170,6 @@
 
 // effectiveClass returns the class of a request: the job's, unless the caller asks for a
 // more patient one.
-func effectiveClass(job, asked common.Class) common.Class {
-	return max(job, asked)
+func effectiveClass(job, requested common.Class) common.Class {
+	return max(job, requested)
 }
--- a/request/estimate.go
+++ b/request/estimate.go
@@ -14,7 +14,7 @@
 	sampled   bool
 }
 
-// add adds one sample.
+// add adds a sample to the average.
 func (m *ewma) add(d time.Duration) {
 	if !m.sampled {
 		m.value = (m.value + d) / 2
@@ -29,7 +29,7 @@
 // boundDeviations is how many deviations upperBound is above the average.
 const boundDeviations = 2
 
-// upperBound returns how long a run is assumed to take if it has to end in time.
+// upperBound returns the run time to reckon with where a run has to end in time.
 func (m *ewma) upperBound() time.Duration {
 	return m.value + boundDeviations*m.deviation
 }
@@ -44,7 +44,7 @@
 	return successRate{value: 1}
 }
 
-// add adds one outcome.
+// add adds an outcome to the rate.
 func (s *successRate) add(ok bool) {
 	v := 0.0
 	if ok {
--- a/request/forward.go
+++ b/request/forward.go
@@ -19,8 +19,9 @@
 	dialTimeout = time.Second
 	// idleTimeout closes a connection that nothing uses.
 	idleTimeout = 30 * time.Second
-	// detachedRunTimeout is how long a run may hold its slot after its caller has gone.
-	// It is a tenth of the five minutes of a reboot, which a run that hangs delays.
+	// detachedRunTimeout is how long a run may hold its slot after its caller has gone. A
+	// run that hangs delays the reboot of its host; this is a tenth of the five minutes
+	// that a reboot takes.
 	detachedRunTimeout = 30 * time.Second
 	// maxBufferedAnswer is the size in bytes up to which an answer is read completely
 	// before any of it is passed on.
@@ -55,7 +56,7 @@
 	// Sent says that the target may have received some of the request.
 	Sent  bool
 	Cause error
-	// Done is closed once the target has ended the run; nil if it is not running.
+	// Done is closed once the target has ended the run; nil if nothing runs on.
 	Done <-chan struct{}
 }
 
@@ -81,12 +82,13 @@
 	unpooled *http.Transport
 }
 
-// NewForwarder returns a forwarder that keeps up to idle idle connections to each target.
-func NewForwarder(idle int) *Forwarder {
+// NewForwarder returns a forwarder that keeps at most maxIdle idle connections to each
+// target.
+func NewForwarder(maxIdle int) *Forwarder {
 	o := common.NewConnections((&net.Dialer{Timeout: dialTimeout}).DialContext)
 	t := &http.Transport{
 		DialContext:         o.Dial,
-		MaxIdleConnsPerHost: idle,
+		MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -98,9 +100,9 @@
 // Run sends the call to the target once and reads the start of its answer. Its error is
 // always an *AttemptError.
 func (f *Forwarder) Run(ctx context.Context, a netip.AddrPort, c Call) (*Reply, error) {
-	own, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	attemptCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	t := newAttempt(f.conns, cancel)
-	req, err := t.request(own, a, c)
+	req, err := t.request(attemptCtx, a, c)
 	if err != nil {
 		cancel()
 		return nil, &AttemptError{Cause: err}
--- a/request/handshakes.go
+++ b/request/handshakes.go
@@ -26,11 +26,11 @@
 	// takes a few microseconds on a processor that is running.
 	halfOpenPollInterval = 5 * time.Millisecond
 	// handshakeTimeout bounds the wait for half-open connections. The kernel repeats its
-	// answer after a second, so one lost packet each way is covered; a caller that has
-	// gone would hold up the stop for a minute.
+	// answer (SYN-ACK) after a second, so one lost packet each way is covered; a caller
+	// that has gone would hold up the stop for a minute.
 	handshakeTimeout = 1500 * time.Millisecond
 	// unobservableWait is the wait if the kernel does not show half-open connections: a
-	// caller repeats its request after 200 ms without a reply.
+	// caller repeats its request after 200 ms without an answer.
 	unobservableWait = 300 * time.Millisecond
 	// halfOpenPolls is how many polls in a row must find no half-open connection.
 	halfOpenPolls = 2
@@ -46,9 +46,9 @@
 // wholePacket is a filter's result that keeps all of a packet.
 const wholePacket = 1 << 16
 
-// dropNewConnections is a filter that drops requests for new connections and passes
-// everything else, which completes connections and carries requests. A caller repeats a
-// dropped request a second later and is refused then, before it has sent anything.
+// dropNewConnections is a filter that drops packets that ask for a new connection (SYN)
+// and passes all others, which complete connections and carry requests. A caller repeats
+// a dropped packet a second later and is refused then, before it has sent a request.
 var dropNewConnections = []bpf.Instruction{
 	bpf.LoadAbsolute{Off: tcpFlagsOffset, Size: 1},
 	bpf.ALUOpConstant{Op: bpf.ALUOpAnd, Val: tcpSYN | tcpACK},
@@ -87,7 +87,7 @@
 }
 
 // awaitHandshakes returns once no connection to the listening address is half-open, or
-// after handshakeTimeout. New connections have to be blocked before.
+// after handshakeTimeout. New connections must be blocked already.
 func awaitHandshakes(at netip.AddrPort) HandshakeReport {
 	var h HandshakeReport
 	end := time.Now().Add(handshakeTimeout)
@@ -120,19 +120,19 @@
 // halfOpen returns how many connections to the listening address are half-open, according
 // to the kernel's tables.
 func halfOpen(at netip.AddrPort) (int, error) {
-	four, err := os.ReadFile(tcpTable)
+	v4, err := os.ReadFile(tcpTable)
 	if err != nil {
 		return 0, err
 	}
-	six, err := os.ReadFile(tcp6Table)
+	v6, err := os.ReadFile(tcp6Table)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
-	return countHalfOpen(string(four), at) + countHalfOpen(string(six), at), nil
+	return countHalfOpen(string(v4), at) + countHalfOpen(string(v6), at), nil
 }
 
-// countHalfOpen counts the half-open connections in one table. A listener on all
-// addresses is matched by its port only.
+// countHalfOpen counts the half-open connections to the address in one table. If the
+// listener is on all addresses, only the port is compared.
 func countHalfOpen(table string, at netip.AddrPort) int {
 	port := fmt.Sprintf(":%04X", at.Port())
 	n := 0
--- a/request/health.go
+++ b/request/health.go
@@ -40,7 +40,7 @@
 	succeeded bool
 }
 
-// record records one outcome of the job.
+// record adds one outcome of the job.
 func (j *jobHealth) record(target string, ok bool) {
 	if ok {
 		j.succeeded = true
@@ -58,7 +58,7 @@
 	return len(j.failedOn) >= failsEverywhereTargets
 }
 
-// record records one outcome that says something about the target. It reports whether the
+// record adds one outcome that says something about the target. It reports whether the
 // target should be quarantined.
 func (h *health) record(now time.Time, ok bool) bool {
 	h.success.add(ok)
@@ -70,8 +70,8 @@
 	return true
 }
 
-// endProbe records the outcome of a probe: one success brings the target back, a failure
-// doubles the quarantine. It reports whether the target stays quarantined.
+// endProbe ends a probe: a success brings the target back, a failure doubles the time of
+// its quarantine. It reports whether the target stays quarantined.
 func (h *health) endProbe(now time.Time, ok bool) bool {
 	if ok {
 		h.success = newSuccessRate()
--- a/request/intake.go
+++ b/request/intake.go
@@ -17,7 +17,8 @@
 // MaxBody is the largest body of a request, in bytes.
 const MaxBody = 8 << 20
 
-// acceptedRequest is a request that was accepted, with what is known of it since.
+// acceptedRequest is a caller's request, with what is known so far of its claim and its
+// attempts.
 type acceptedRequest struct {
 	service    config.Service
 	job        config.Job
@@ -39,8 +40,9 @@
 	sent bool
 }
 
-// refusalVerdict returns the verdict of an answer without a result. A request is known
-// not to have run only if it cannot have copies, or if its copies cannot run any more.
+// refusalVerdict returns the verdict of an answer that refuses the request or gives it
+// up. A request is known not to have run only if it cannot have copies, or if its copies
+// cannot run because it is claimed.
 func (q *acceptedRequest) refusalVerdict() common.Verdict {
 	if q.sent || (q.hasKey && !q.claimed) {
 		return common.MayHaveRun
@@ -49,9 +51,9 @@
 }
 
 // problem returns a problem with the verdict that fits the request's state.
-func (q *acceptedRequest) problem(status int, title, detail string, retry time.Time) *common.ProblemError {
+func (q *acceptedRequest) problem(status int, title, detail string, retryAt time.Time) *common.ProblemError {
 	return &common.ProblemError{
-		Type: "about:blank", Title: title, Status: status, Detail: detail, Verdict: q.refusalVerdict(), RetryAt: retry,
+		Type: "about:blank", Title: title, Status: status, Detail: detail, Verdict: q.refusalVerdict(), RetryAt: retryAt,
 	}
 }
 
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// acceptID finds the id and whether the request may be repeated. A caller can only forbid
-// what the job's declaration allows.
+// acceptID finds the id and whether the request may be repeated. A caller may forbid
+// repetition that the job allows, but not allow what it forbids.
 func (s *Server) acceptID(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	q.atMostOnce = !q.job.Repeatable
 	switch v := r.Header.Get(common.HeaderRepeatable); v {
@@ -181,8 +183,8 @@
 		}
 		q.deadline = d
 	}
-	if most := now.Add(config.MaxPatience); q.deadline.After(most) {
-		q.deadline = most
+	if latest := now.Add(config.MaxPatience); q.deadline.After(latest) {
+		q.deadline = latest
 	}
 	if !q.deadline.After(now) {
 		return q.problem(http.StatusGatewayTimeout, "the deadline has passed", "", time.Time{})
--- a/request/item.go
+++ b/request/item.go
@@ -22,7 +22,7 @@
 	pool      *pool
 	queue     *queue
 	startedAt time.Time
-	// probe says that the attempt probes whether its target works again.
+	// probe says that the attempt probes whether a quarantined target works again.
 	probe bool
 	// outcomeRecorded says that the outcome of the attempt was recorded.
 	outcomeRecorded bool
@@ -37,7 +37,7 @@
 	return s.Name
 }
 
-// key identifies the job for what the scheduler learns about it.
+// key returns the key of what the scheduler learns about the job.
 func (i *Item) key() jobKey {
 	return jobKey{service: i.Service, job: i.Job}
 }
--- a/request/outcome.go
+++ b/request/outcome.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Outcome is the outcome of one attempt.
+// Outcome says how one attempt ended.
 type Outcome struct {
 	// OK says that the target gave a complete answer that reports no failure of the
 	// target.
@@ -52,7 +52,7 @@
 	}
 }
 
-// countRunEnd counts one run less on the host.
+// countRunEnd decrements the runs in flight on the host.
 func (s *Scheduler) countRunEnd(host string) {
 	s.inFlight[host]--
 	if s.inFlight[host] == 0 {
@@ -60,23 +60,23 @@
 	}
 }
 
-// updateHealth updates what is known of the target and of the job by the outcome.
+// updateHealth adds the outcome to what is known of the target and of the job.
 func (s *Scheduler) updateHealth(now time.Time, p *pool, t *target, i *Item, o Outcome) {
 	j := s.job(i.key())
-	speaks := !o.Cancelled
-	if speaks {
+	conclusive := !o.Cancelled
+	if conclusive {
 		j.record(t.Name, o.OK)
-		speaks = o.OK || !j.failsEverywhere()
+		conclusive = o.OK || !j.failsEverywhere()
 	}
 	if o.OK {
 		j.run.add(now.Sub(i.startedAt))
 		t.run.add(now.Sub(i.startedAt))
 	}
 	switch {
-	case i.probe && (!speaks || t.endProbe(now, o.OK)):
-		// A probe without a result is repeated by the next request.
+	case i.probe && (!conclusive || t.endProbe(now, o.OK)):
+		// Without a conclusive outcome, the next request probes again.
 		t.heapEntry = p.quarantined.Push(t)
-	case i.probe || t.quarantined() || !speaks:
+	case i.probe || t.quarantined() || !conclusive:
 		// An attempt that began before the target was quarantined says nothing new.
 	case !t.record(now, o.OK):
 	case p.canQuarantine():
--- a/request/retry.go
+++ b/request/retry.go
@@ -22,7 +22,7 @@
 	return &RetryBudget{tokens: maxRetryBudget}
 }
 
-// Earn adds what one request earns.
+// Earn credits the budget for one request.
 func (b *RetryBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/request/run.go
+++ b/request/run.go
@@ -19,15 +19,16 @@
 	return common.Ran
 }
 
-// attemptResult is an attempt that has an answer.
+// attemptResult is the answer to an attempt.
 type attemptResult struct {
 	reply *Reply
 	// relayed says that the answer comes from another entry host and has a verdict.
 	relayed bool
-	finish  func(ok bool)
+	// finish ends the attempt; ok says that the answer was passed on completely.
+	finish func(ok bool)
 }
 
-// handle runs the request until it has an answer, or a problem with its verdict.
+// handle runs the request and returns its answer, or a problem with its verdict.
 func (s *Server) handle(ctx context.Context, q *acceptedRequest) (*attemptResult, *common.ProblemError) {
 	if q.issued != nil && !s.Issuer.Issued(*q.issued) {
 		return s.relayToIssuer(ctx, q)
@@ -52,7 +53,7 @@
 }
 
 // shouldRetryAnswer reports whether a target's failure answer should be retried on
-// another target.
+// another target. If so, it takes the retry from the budget.
 func (s *Server) shouldRetryAnswer(q *acceptedRequest, v *attemptResult, n int) bool {
 	if q.atMostOnce || v.reply.Status < http.StatusInternalServerError || v.reply.Rest != nil {
 		return false
@@ -60,8 +61,8 @@
 	return n < maxAttempts && s.budget.Spend()
 }
 
-// mayRetry reports whether the request may be attempted again after the error, and the
-// retry budget allows it.
+// mayRetry reports whether the request may be attempted again after the error. If so, it
+// takes the retry from the budget.
 func (s *Server) mayRetry(ctx context.Context, q *acceptedRequest, err error, n int) bool {
 	var a *AttemptError
 	if !errors.As(err, &a) || ctx.Err() != nil || n >= maxAttempts {
@@ -73,18 +74,18 @@
 	return s.budget.Spend()
 }
 
-// noAnswerProblem returns the final answer after a failed attempt.
+// noAnswerProblem returns the problem that ends a request whose attempt failed.
 func (s *Server) noAnswerProblem(ctx context.Context, q *acceptedRequest, err error) *common.ProblemError {
-	retry := s.deps.Now().Add(defaultRetryDelay)
+	retryAt := s.deps.Now().Add(defaultRetryDelay)
 	if ctx.Err() != nil {
-		return q.problem(http.StatusGatewayTimeout, "no answer by the deadline", err.Error(), retry)
+		return q.problem(http.StatusGatewayTimeout, "no answer by the deadline", err.Error(), retryAt)
 	}
-	return q.problem(http.StatusBadGateway, "no answer from the target", err.Error(), retry)
+	return q.problem(http.StatusBadGateway, "no answer from the target", err.Error(), retryAt)
 }
 
 // errTargetRemoved is the error of a target that was removed after the scheduler chose
 // it.
-var errTargetRemoved = errors.New("the target left")
+var errTargetRemoved = errors.New("the target was removed")
 
 // attempt sends the request to a target that has not been removed. The error is an
 // *AttemptError or a *common.ProblemError.
@@ -136,7 +137,7 @@
 	if !q.atMostOnce || q.claimed {
 		return nil
 	}
-	retry := s.deps.Now().Add(defaultRetryDelay)
+	retryAt := s.deps.Now().Add(defaultRetryDelay)
 	switch s.claimOutcome(ctx, q) {
 	case ClaimGranted:
 		q.claimed = true
@@ -149,7 +150,7 @@
 			"an id may be run within "+IDLifetime.String()+" of its making; an earlier copy may have run", time.Time{})
 	default:
 		return q.problem(http.StatusServiceUnavailable, "the request could not be claimed",
-			"come back with the same id", retry)
+			"come back with the same id", retryAt)
 	}
 }
 
@@ -170,8 +171,9 @@
 // up to date again.
 const pausePollInterval = 20 * time.Millisecond
 
-// awaitResume holds the request while the process was paused and has not caught up with
-// what it missed. It is the last check before a request whose time has passed is sent.
+// awaitResume holds the request back while the process was just paused and has not caught
+// up with what it missed. It is the last point at which a request whose time has passed
+// is refused.
 func (s *Server) awaitResume(ctx context.Context, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
 	for s.PauseDetector.Suspended(now) && now.Before(q.deadline) && ctx.Err() == nil {
--- a/request/scheduler.go
+++ b/request/scheduler.go
@@ -39,7 +39,7 @@
 	Name   string
 	Pool   string
 	Weight int
-	// Placed says that only Targets hold the service; otherwise all targets of the pool
+	// Placed says that only Targets run the service; otherwise all targets of the pool
 	// do.
 	Placed  bool
 	Targets []string
@@ -59,7 +59,7 @@
 	inFlight map[string]int
 }
 
-// pool is the targets of one pool and the services that use them.
+// pool is one pool: its targets and the services that use them.
 type pool struct {
 	name        string
 	targets     []*target
@@ -71,7 +71,7 @@
 	busy    [common.Classes]int
 	waiting [common.Classes]int
 	// virtualTime is, for each class, the run time started so far divided by the class's
-	// share.
+	// share, as in weighted fair queueing.
 	virtualTime [common.Classes]float64
 }
 
@@ -197,8 +197,8 @@
 	}
 }
 
-// remove takes a target out of its pool. Release does not find it any more when its runs
-// end.
+// remove takes a target out of its pool. Its runs go on, but their outcomes no longer
+// count.
 func (s *Scheduler) remove(t *target) {
 	p := s.pool(t.Pool)
 	t.removed = true
@@ -221,8 +221,8 @@
 	return p
 }
 
-// updateFree adds the target to the free list or removes it, depending on whether it has
-// a free slot.
+// updateFree adds the target to the free list if it has a free slot and is neither
+// removed nor quarantined, and takes it off the list otherwise.
 func (p *pool) updateFree(t *target) {
 	want := !t.removed && t.busy < t.Slots && !t.quarantined()
 	if want && t.freeIndex < 0 {
--- a/request/server.go
+++ b/request/server.go
@@ -60,7 +60,7 @@
 	Metrics    *Metrics
 	// PauseDetector tells whether the process was paused just now.
 	PauseDetector *common.PauseDetector
-	// HopToken proves that a request comes from another entry host.
+	// HopToken proves that a request was forwarded by another entry host.
 	HopToken string
 }
 
@@ -163,37 +163,37 @@
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	s.budget.Earn()
-	run, p := s.handle(ctx, q)
+	result, p := s.handle(ctx, q)
 	if p != nil {
 		s.writeProblem(w, q, p)
 		return
 	}
-	err := s.writeAnswer(w, q, run)
-	run.finish(err == nil)
+	err := s.writeAnswer(w, q, result)
+	result.finish(err == nil)
 	if err != nil {
 		s.log.Warnf("answer to %s broke off: %v", q.id, err)
 		// The caller must not take the part that it has for the whole answer.
 		panic(http.ErrAbortHandler)
 	}
-	s.Metrics.recordAnswer(q.class, verdictOf(run.reply.Status), s.deps.Now().Sub(start))
+	s.Metrics.recordAnswer(q.class, verdictOf(result.reply.Status), s.deps.Now().Sub(start))
 }
 
 // writeAnswer writes the target's answer to the caller.
-func (s *Server) writeAnswer(w http.ResponseWriter, q *acceptedRequest, run *attemptResult) error {
-	copyHeader(w.Header(), run.reply.Header)
+func (s *Server) writeAnswer(w http.ResponseWriter, q *acceptedRequest, result *attemptResult) error {
+	copyHeader(w.Header(), result.reply.Header)
 	w.Header().Set(common.HeaderID, q.id.String())
-	if w.Header().Get(common.HeaderVerdict) == "" || !run.relayed {
-		w.Header().Set(common.HeaderVerdict, verdictOf(run.reply.Status).String())
+	if w.Header().Get(common.HeaderVerdict) == "" || !result.relayed {
+		w.Header().Set(common.HeaderVerdict, verdictOf(result.reply.Status).String())
 	}
-	w.WriteHeader(run.reply.Status)
+	w.WriteHeader(result.reply.Status)
 	//nolint:gosec // A target's answer goes to its caller as it is.
-	if _, err := w.Write(run.reply.Buffered); err != nil {
+	if _, err := w.Write(result.reply.Buffered); err != nil {
 		return err
 	}
-	if run.reply.Rest == nil {
+	if result.reply.Rest == nil {
 		return nil
 	}
-	defer run.reply.Rest.Close()
-	_, err := io.Copy(w, run.reply.Rest)
+	defer result.reply.Rest.Close()
+	_, err := io.Copy(w, result.reply.Rest)
 	return err
 }
--- a/request/share.go
+++ b/request/share.go
@@ -17,8 +17,8 @@
 		return slots
 	}
 	n := slots / len(members)
-	rest := slots % len(members)
-	if rest > 0 && slices.Index(common.Rank(target, members), self) < rest {
+	remainder := slots % len(members)
+	if remainder > 0 && slices.Index(common.Rank(target, members), self) < remainder {
 		n++
 	}
 	return n
@@ -53,7 +53,8 @@
 }
 
 // ObserveAnswers records whether every live member has answered the process since its
-// start, and so knows of it. Until then SlotShareDelay starts again with each call.
+// start, and so knows of it. Until then, and until answersBy at the latest, each call
+// restarts SlotShareDelay.
 func (s *SlotShares) ObserveAnswers(now time.Time, all bool) {
 	if !all && !s.usable && now.Before(s.answersBy) {
 		s.usableAt = now.Add(SlotShareDelay)
@@ -62,10 +63,10 @@
 
 // SetMembers sets which members hold a share. It reports whether shares may have changed.
 func (s *SlotShares) SetMembers(now time.Time, names []string) bool {
-	began := !s.usable && !now.Before(s.usableAt)
-	s.usable = s.usable || began
+	becameUsable := !s.usable && !now.Before(s.usableAt)
+	s.usable = s.usable || becameUsable
 	if slices.Equal(names, s.members) {
-		return began
+		return becameUsable
 	}
 	s.members = slices.Clone(names)
 	return true
--- a/request/spill.go
+++ b/request/spill.go
@@ -19,7 +19,7 @@
 	budget *RetryBudget
 }
 
-// NewRelay returns a relay from the data centre to the live members, which accept
+// NewRelay returns a relay from the data centre to the live members, which recognise
 // forwarded requests by the token.
 func NewRelay(dc, token string, live func() []peers.Member, r Runner) *Relay {
 	return &Relay{dc: dc, token: token, live: live, runner: r, budget: NewRetryBudget()}
