--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -79,10 +79,10 @@
 // BenchmarkClaims claims ids from 256 requests at once: batched by one shard with its
 // share of the platform's writes, and with one swap for each request at the same rate.
 func BenchmarkClaims(b *testing.B) {
-	per := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
+	perSecond := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
 	b.Run("gathered", func(b *testing.B) {
 		m := &slowStore{Memory: standin.NewMemory()}
-		s := newShard(claimStore{m, 0}, per, time.Now, common.Quiet().Log("bench"), func() {})
+		s := newShard(claimStore{m, 0}, perSecond, time.Now, common.Quiet().Log("bench"), func() {})
 		go s.run(b.Context())
 		claimAll(b, m, func(id uuid.UUID) {
 			p := pendingClaim{ctx: b.Context(), claim: Claim{ID: id, Attempt: 1}, done: make(chan ClaimOutcome, 1)}
@@ -94,7 +94,7 @@
 	})
 	b.Run("one-swap-each", func(b *testing.B) {
 		m := &slowStore{Memory: standin.NewMemory()}
-		l := rate.NewLimiter(per, 2)
+		l := rate.NewLimiter(perSecond, 2)
 		claimAll(b, m, func(id uuid.UUID) {
 			if l.Wait(b.Context()) != nil {
 				return
--- a/request/callerstop_test.go
+++ b/request/callerstop_test.go
@@ -236,7 +236,7 @@
 	requireRead(t, host, " goes on")
 	require.NoError(t, host.SetReadDeadline(time.Now().Add(-time.Second)))
 	_, err = host.Read(make([]byte, 1))
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the time for a request that has begun is not prolonged")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the deadline of a request that has begun is not extended")
 }
 
 // TestConnectionStaysOpenForAnnouncedTimeout guards against closing a connection while
@@ -310,11 +310,11 @@
 // within IdleGrace of the stop, on a connection that no answer has closed, has to be
 // answered.
 func TestStopAnswersRandomCallers(t *testing.T) {
-	const plays, callers = 40, 8
+	const stops, callers = 40, 8
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	var g sync.WaitGroup
-	for n := range plays {
+	for n := range stops {
 		d := rand.New(rand.NewPCG(seed, uint64(n)))
 		g.Go(func() { runRandomStop(t, d, callers) })
 	}
@@ -332,8 +332,8 @@
 	var g sync.WaitGroup
 	for range callers {
 		k := dialRaw(t, l)
-		own := rand.New(rand.NewPCG(d.Uint64(), d.Uint64()))
-		g.Go(func() { k.askInPieces(t, own, stopAt.Add(IdleGrace)) })
+		callerRand := rand.New(rand.NewPCG(d.Uint64(), d.Uint64()))
+		g.Go(func() { k.askInPieces(t, callerRand, stopAt.Add(IdleGrace)) })
 	}
 	time.Sleep(time.Until(stopAt))
 	stop(t, c, l)()
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -183,10 +183,10 @@
 	m := standin.NewMemory()
 	s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.Quiet().Log("test"), func() {})
 	id := idCreatedAt(time.Now(), 1)
-	given, giveUp := context.WithCancel(t.Context())
-	first := pendingClaim{ctx: given, claim: Claim{ID: id, Attempt: 1}, done: make(chan ClaimOutcome, 1)}
+	abandoned, abandon := context.WithCancel(t.Context())
+	first := pendingClaim{ctx: abandoned, claim: Claim{ID: id, Attempt: 1}, done: make(chan ClaimOutcome, 1)}
 	s.queue <- first
-	giveUp()
+	abandon()
 	second := pendingClaim{ctx: t.Context(), claim: Claim{ID: id, Attempt: 2}, done: make(chan ClaimOutcome, 1)}
 	s.queue <- second
 	s.commit(t.Context(), s.gather(t.Context()))
--- a/request/claimer.go
+++ b/request/claimer.go
@@ -107,8 +107,8 @@
 }
 
 // tryClaim calls the shard's owner. It writes to the log itself if this process is the
-// owner, if the owner is not alive, or after n >=
-// maxRemoteTries.
+// owner, if the owner is not alive, or if n, the number of tries before, is
+// maxRemoteTries or more.
 func (c *Claimer) tryClaim(ctx context.Context, k Claim, n int) (ClaimOutcome, error) {
 	s := ShardOf(k.ID)
 	owner := common.First(shardPrefix(s), c.members.LiveNames(""))
--- a/request/slot_test.go
+++ b/request/detached_test.go
@@ -56,7 +56,8 @@
 	return s.runs
 }
 
-// oneSlot returns a server with one target of one slot.
+// oneSlot returns a server with one target of one slot, whose job seems quicker than it
+// is, as it declares no run time.
 func oneSlot(t *testing.T, h http.Handler) *Server {
 	t.Helper()
 	target := httptest.NewServer(h)
@@ -147,7 +148,7 @@
 		}
 		if e != nil && e.Done == nil {
 			time.Sleep(2 * time.Millisecond)
-			require.Equal(t, before, v.begun(), "attempt %d was given up and runs", n)
+			require.Equal(t, before, v.begun(), "attempt %d was abandoned but ran", n)
 		}
 		if e != nil && e.Done != nil {
 			<-e.Done
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -14,7 +14,7 @@
 	"amberway/common"
 )
 
-// placedOn are the targets that hold the placed service.
+// placedOn are the targets that run the placed service.
 var placedOn = []string{"t0", "t2"}
 
 // schedulerModel drives a Scheduler with two services on one pool, and a third on some of
@@ -92,7 +92,7 @@
 	}
 	if r := m.s.Offer(m.now, i); r != nil {
 		if r.RetryAt.Before(m.now) {
-			t.Fatalf("refused with a time to come back in the past")
+			t.Fatalf("refused with a retry time in the past")
 		}
 		return
 	}
--- a/request/silence_test.go
+++ b/request/silence_test.go
@@ -63,6 +63,8 @@
 	}
 }
 
+// TestStreamingAnswerKeepsItsConnection checks that an answer which is still being read is
+// not cut off when another connection to its target goes silent.
 func TestStreamingAnswerKeepsItsConnection(t *testing.T) {
 	more := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/request/verdict_test.go
+++ b/request/verdict_test.go
@@ -240,13 +240,13 @@
 		m.verdicts[id] = append(m.verdicts[id], v)
 	}
 	if v == common.Ran && m.runs[id] == 0 {
-		m.t.Fatalf("%s heard ran and did not run", id)
+		m.t.Fatalf("%s got the verdict ran but did not run", id)
 	}
 	if w.Code == http.StatusOK && w.Body.String() != got {
 		m.t.Fatalf("%s got the answer to %s", got, w.Body.String())
 	}
 	if w.Code >= http.StatusTooManyRequests && w.Code != http.StatusInternalServerError && w.Header().Get("Retry-After") == "" {
-		m.t.Fatalf("status %d without the time to come back", w.Code)
+		m.t.Fatalf("status %d without Retry-After", w.Code)
 	}
 }
 
@@ -255,7 +255,7 @@
 	for id, l := range m.verdicts {
 		for _, v := range l {
 			if v == common.NotRun && m.runs[id] > 0 {
-				m.t.Fatalf("%s heard not-run and ran", id)
+				m.t.Fatalf("%s got the verdict not-run but ran", id)
 			}
 		}
 		if m.once[id] && m.runs[id] > 1 {
