--- a/request/callerserver.go
+++ b/request/callerserver.go
@@ -63,10 +63,10 @@
 
 // NewCallerServer returns a server for the handler. Answers tell callers for how long
 // they may use an idle connection, in whole seconds; KeepAliveTimeout returns what a stop
-// can honour. During a stop, an idle connection stays open for idleGrace, and for as long
+// can honour. During a stop, an idle connection stays open for the grace, and for as long
 // as its caller was told.
-func NewCallerServer(h http.Handler, keepAlive, idleGrace time.Duration) *CallerServer {
-	c := &CallerServer{handler: h, conns: newCallerConns(), keepAliveTimeout: keepAlive.Truncate(time.Second), idleGrace: idleGrace, serveDone: make(chan struct{})}
+func NewCallerServer(h http.Handler, keepAlive, grace time.Duration) *CallerServer {
+	c := &CallerServer{handler: h, conns: newCallerConns(), keepAliveTimeout: keepAlive.Truncate(time.Second), idleGrace: grace, serveDone: make(chan struct{})}
 	if c.keepAliveTimeout > 0 {
 		c.keepAliveHeader = fmt.Sprintf("timeout=%d", c.keepAliveTimeout/time.Second)
 	}
--- a/request/claimshard.go
+++ b/request/claimshard.go
@@ -51,16 +51,16 @@
 	onCommit func()
 }
 
-func newShard(s claimStore, perSecond rate.Limit, now func() time.Time, logger common.Log, onCommit func()) *shard {
+func newShard(s claimStore, perSecond rate.Limit, now func() time.Time, l common.Log, committed func()) *shard {
 	return &shard{
 		store:      s,
 		log:        NewClaimLog(),
 		limiter:    rate.NewLimiter(perSecond, 2),
 		queue:      make(chan pendingClaim, 4*maxBatchClaims),
 		now:        now,
-		logger:     logger,
+		logger:     l,
 		retryDelay: claimRetryDelay,
-		onCommit:   onCommit,
+		onCommit:   committed,
 	}
 }
 
