--- a/request/attempt.go
+++ b/request/attempt.go
@@ -64,9 +64,9 @@
 }
 
 // distrustConn marks the connection as silent if the deadline has passed without an
-// answer. Nothing else tells a silent connection from a long run. The request is not sent
-// again, but later ones do not use another connection that has received nothing since
-// this request was sent.
+// answer. Nothing else distinguishes a silent connection from a long run. The request is
+// not sent again, but later ones do not use another connection that has received nothing
+// since this request was sent.
 func (t *attempt) distrustConn(ctx context.Context) {
 	c := t.conn.Load()
 	if c != nil && c.reused && errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/request/callerconn.go
+++ b/request/callerconn.go
@@ -19,7 +19,8 @@
 	// idle says that nothing of the next request has been read, since idleSince.
 	idle      bool
 	idleSince time.Time
-	// keepUntil is until when the caller was told that it may use the idle connection.
+	// keepUntil is until when the caller may use the idle connection, by the Keep-Alive
+	// timeout that was announced to it.
 	keepUntil time.Time
 	// closing asks the reader to close the connection unless a request has arrived.
 	closing bool
@@ -84,8 +85,8 @@
 	return k.idle
 }
 
-// markIdle records that the connection waits for its next request. The caller was told
-// that it may send one within the given time.
+// markIdle records that the connection waits for its next request, which the caller may
+// send within the announced timeout.
 func (k *callerConn) markIdle(keepAlive time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,8 +110,8 @@
 	}
 }
 
-// closeIfIdle asks the reader to close the connection if it is idle and its caller may no
-// longer use it. It returns since when the connection has been idle.
+// closeIfIdle asks the reader to close the connection if it is idle and the timeout
+// announced to its caller has passed. It returns since when the connection has been idle.
 func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, idle bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/request/callerserver.go
+++ b/request/callerserver.go
@@ -44,14 +44,14 @@
 	handler http.Handler
 	server  *http.Server
 	conns   *callerConns
-	// keepAliveTimeout is for how long callers are told that they may use an idle
+	// keepAliveTimeout is announced to callers: for that long they may use an idle
 	// connection.
 	keepAliveTimeout time.Duration
-	// keepAliveHeader is the Keep-Alive header that tells them; empty if they are told
-	// nothing.
+	// keepAliveHeader is the Keep-Alive header that announces it; empty if nothing is
+	// announced.
 	keepAliveHeader string
-	// idleGrace is how long a stop waits for callers between requests, whatever they were
-	// told.
+	// idleGrace is how long a stop waits for callers between requests, whatever was
+	// announced.
 	idleGrace time.Duration
 	// serveDone is closed once the listener returns no more connections.
 	serveDone chan struct{}
@@ -61,10 +61,10 @@
 	activity atomic.Int64
 }
 
-// NewCallerServer returns a server for the handler. Answers tell callers for how long
-// they may use an idle connection, in whole seconds; KeepAliveTimeout returns what a stop
-// can honour. During a stop, an idle connection stays open for the grace, and for as long
-// as its caller was told.
+// NewCallerServer returns a server for the handler. Answers announce to callers that they
+// may use an idle connection for keepAlive, in whole seconds; KeepAliveTimeout returns
+// what a stop can honour. During a stop, an idle connection stays open for the grace, and
+// until the announced timeout has passed.
 func NewCallerServer(h http.Handler, keepAlive, grace time.Duration) *CallerServer {
 	c := &CallerServer{handler: h, conns: newCallerConns(), keepAliveTimeout: keepAlive.Truncate(time.Second), idleGrace: grace, serveDone: make(chan struct{})}
 	if c.keepAliveTimeout > 0 {
@@ -120,7 +120,7 @@
 	return c.server.Serve(trackingListener{l, c.conns})
 }
 
-// StopReport describes a stop, so that the cause of a lost request can be told from the
+// StopReport describes a stop, so that the cause of a lost request can be found from its
 // log line.
 type StopReport struct {
 	HandshakeReport
@@ -163,7 +163,7 @@
 }
 
 // drain waits until no connection is open. After idleGrace it closes those that are still
-// idle, unless their callers were told that they may use them for longer. It does not use
+// idle, unless the timeout announced to their callers has not passed. It does not use
 // http.Server.Shutdown, which drops requests that are read after it was called.
 func (c *CallerServer) drain(ctx context.Context) (IdleReport, error) {
 	var r IdleReport
--- a/request/callerstop_test.go
+++ b/request/callerstop_test.go
@@ -239,8 +239,8 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the deadline of a request that has begun is not extended")
 }
 
-// TestConnectionStaysOpenForAnnouncedTimeout guards against closing a connection while
-// its caller was told that it may use it.
+// TestConnectionStaysOpenForAnnouncedTimeout guards against closing a connection before
+// the timeout that was announced to its caller.
 func TestConnectionStaysOpenForAnnouncedTimeout(t *testing.T) {
 	host, _ := acceptedPair(t)
 	now := time.Now()
--- a/request/claimer.go
+++ b/request/claimer.go
@@ -37,7 +37,7 @@
 	maxRemoteTries = 1
 )
 
-// Members tells which entry hosts are alive and how to reach them.
+// Members reports which entry hosts are alive and how to reach them.
 type Members interface {
 	// LiveNames returns the names of the live members of a data centre, or of all if dc
 	// is empty.
--- a/request/estimate.go
+++ b/request/estimate.go
@@ -29,7 +29,7 @@
 // boundDeviations is how many deviations upperBound is above the average.
 const boundDeviations = 2
 
-// upperBound returns the run time to reckon with where a run has to end in time.
+// upperBound returns a pessimistic estimate, for a run that has to end by a deadline.
 func (m *ewma) upperBound() time.Duration {
 	return m.value + boundDeviations*m.deviation
 }
--- a/request/handshakes.go
+++ b/request/handshakes.go
@@ -71,8 +71,8 @@
 }
 
 // HandshakeReport describes the connections that a listener's close found. Together with
-// the errors that callers saw, it tells a connection that was lost half-open from one
-// that waited to be accepted.
+// the errors that callers saw, it distinguishes a connection that was lost half-open from
+// one that waited to be accepted.
 type HandshakeReport struct {
 	// MaxHalfOpen is the most connections that were half-open at once, HalfOpen how many
 	// were left when the wait ended.
--- a/request/server.go
+++ b/request/server.go
@@ -58,7 +58,7 @@
 	Relay      *Relay
 	Issuer     *Issuer
 	Metrics    *Metrics
-	// PauseDetector tells whether the process was paused just now.
+	// PauseDetector reports whether the process was paused just now.
 	PauseDetector *common.PauseDetector
 	// HopToken proves that a request was forwarded by another entry host.
 	HopToken string
