--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -398,9 +398,9 @@
 	})
 }
 
-// TestSharesWaitForLateMembershipUpdates checks the same if the others learn of a process
-// that starts later than SlotShareDelay: it uses slots only after all have answered it,
-// and so know of it.
+// TestSharesWaitForLateMembershipUpdates checks the same if the others take longer than
+// SlotShareDelay to learn of a process that starts: it uses slots only after all have
+// answered it, and so know of it.
 func TestSharesWaitForLateMembershipUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*SlotShares{}}
