--- a/job/admission_policy.go
+++ b/job/admission_policy.go
@@ -17,10 +17,10 @@
 	// heldStartsWindow is how long the owner counts as overloaded after it last held back a
 	// start.
 	heldStartsWindow = time.Second
-	// judgeByRateFor is how long a new owner that inherits limited queues evaluates them by
+	// evaluateByRateFor is how long a new owner that inherits limited queues evaluates them by
 	// its permitted send rate. On a link of 2 Mbit/s the first answers of 180 workers take
 	// 1.5 s, and starts are sent only after that.
-	judgeByRateFor = 4 * time.Second
+	evaluateByRateFor = 4 * time.Second
 	// admissionTTL is how long a policy stays in force once its owner is replaced. It covers
 	// three takeovers in a row on a link of 2 Mbit/s.
 	admissionTTL = 20 * time.Second
@@ -53,7 +53,7 @@
 
 // admissionState is the owner's state of admission control.
 type admissionState struct {
-	judgeAt time.Time
+	evaluateAt time.Time
 	// admissions are the current limits, published those in the last published policy.
 	admissions, published map[int]Admission
 	// publishedFractions are the team fractions of the last published policy.
@@ -61,9 +61,9 @@
 	// inherited says that an earlier owner's policy is still in force. This owner has to
 	// publish its own even if it is the same, since the earlier one expires.
 	inherited bool
-	// judgeByRateUntil is until when pending starts are compared with the send rate although
+	// evaluateByRateUntil is until when pending starts are compared with the send rate although
 	// no start was held back: the owner has yet to start the jobs it has inherited.
-	judgeByRateUntil time.Time
+	evaluateByRateUntil time.Time
 }
 
 // inheritAdmission continues with the policy of the previous owner.
@@ -71,16 +71,16 @@
 	c.admission.admissions, c.admission.published = f.Admissions, f.Admissions
 	c.admission.inherited = len(f.Admissions) > 0
 	if c.admission.inherited {
-		c.admission.judgeByRateUntil = c.now.Add(judgeByRateFor)
+		c.admission.evaluateByRateUntil = c.now.Add(evaluateByRateFor)
 	}
 }
 
 // reconcileAdmission evaluates the limits and publishes them if they have changed.
 func (c *Core) reconcileAdmission() {
-	if c.now.Before(c.admission.judgeAt) {
+	if c.now.Before(c.admission.evaluateAt) {
 		return
 	}
-	c.admission.judgeAt = c.now.Add(admissionInterval)
+	c.admission.evaluateAt = c.now.Add(admissionInterval)
 	c.admission.admissions = c.nextAdmissions()
 	admissions := maps.Clone(c.admission.admissions)
 	maps.DeleteFunc(admissions, func(_ int, a Admission) bool { return a.Fraction >= 1 })
@@ -104,7 +104,7 @@
 // nextAdmissions returns the limits by priority after one more evaluation.
 func (c *Core) nextAdmissions() map[int]Admission {
 	admissions := map[int]Admission{}
-	if !c.now.Before(c.admission.judgeByRateUntil) && (c.flow.startRate == 0 || c.now.Sub(c.flow.startsHeldAt) > heldStartsWindow) {
+	if !c.now.Before(c.admission.evaluateByRateUntil) && (c.flow.startRate == 0 || c.now.Sub(c.flow.startsHeldAt) > heldStartsWindow) {
 		for p, a := range c.admission.admissions {
 			admissions[p] = a.relax()
 		}
--- a/job/admission_policy_test.go
+++ b/job/admission_policy_test.go
@@ -50,7 +50,7 @@
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
 		for _, s := range f.starts() {
-			f.took(s)
+			f.acceptStart(s)
 			started++
 		}
 	}
@@ -96,7 +96,7 @@
 // An entry host enforces the policy of the current owner and, until that has published one,
 // the policy of the owner before, but not for longer than admissionTTL. A job that is
 // already stored is never refused.
-func TestJobOfAFullQueueIsRefusedAtOnceUnlessItWasTaken(t *testing.T) {
+func TestPolicyRefusesJobsUnlessStored(t *testing.T) {
 	s := newStoreFixture(t)
 	n := newTestNode(t, s)
 	go n.intake.run(t.Context())
@@ -143,7 +143,7 @@
 	e := Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Admission: AdmissionPolicy{Fence: 50, Admissions: map[int]Admission{quick: {RetryAfter: time.Second}, patient: {RetryAfter: time.Second}}}}
 	for i := range 20 {
 		rec := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{s}}, f.now)
-		e.Jobs = append(e.Jobs, JobAccepted{ID: ID(fmt.Sprintf("%016x", i)), Record: rec, Created: 50})
+		e.Jobs = append(e.Jobs, Accepted{ID: ID(fmt.Sprintf("%016x", i)), Record: rec, Created: 50})
 	}
 	f.step(e)
 	policy := f.publishedPolicy()
@@ -154,7 +154,7 @@
 }
 
 // A new owner without a backlog lifts the limits of the owner before.
-func TestNextOwnerOpensQueuesThatAreNotFull(t *testing.T) {
+func TestNextOwnerLiftsLimitsWithoutBacklog(t *testing.T) {
 	f := newFixture(t)
 	f.step(Inherited{Config: testConfig(), Admission: AdmissionPolicy{Fence: 50, Admissions: map[int]Admission{quick: {Fraction: 0.9}}}})
 	policy := f.publishedPolicy()
@@ -168,16 +168,16 @@
 	// retryAt is when refused callers retry, tries how often they were refused.
 	retryAt map[ID]time.Time
 	tries   map[ID]int
-	// taken is when jobs were accepted, cameAt when they were first submitted.
-	taken, cameAt map[ID]time.Time
-	begun         []time.Duration
-	next          int
+	// acceptedAt is when jobs were accepted, cameAt when they were first submitted.
+	acceptedAt, cameAt map[ID]time.Time
+	startDelays        []time.Duration
+	next               int
 }
 
 // newHerd returns callers of an owner whose link carries some 150 starts a second.
 func newHerd(t *testing.T) *herd {
 	f := newNarrowFixture(t)
-	return &herd{fixture: f, retryAt: map[ID]time.Time{}, tries: map[ID]int{}, taken: map[ID]time.Time{}, cameAt: map[ID]time.Time{}}
+	return &herd{fixture: f, retryAt: map[ID]time.Time{}, tries: map[ID]int{}, acceptedAt: map[ID]time.Time{}, cameAt: map[ID]time.Time{}}
 }
 
 // arrive submits n new jobs and the retries that are due.
@@ -199,7 +199,7 @@
 func (h *herd) offer(id ID) {
 	delete(h.retryAt, id)
 	if a, limited := h.publishedPolicy().Admissions[quick]; !limited || a.admits(id, 1) {
-		h.taken[id] = h.now
+		h.acceptedAt[id] = h.now
 		s := oneTask()
 		s.Count = 10
 		h.submit(string(id), "quick", s)
@@ -218,11 +218,11 @@
 		h.arrive(2)
 		h.pass(tickEvery)
 		for _, s := range h.starts() {
-			h.took(s)
+			h.acceptStart(s)
 			id, _, _ := strings.Cut(s.Order.Task, ".")
 			if !begun[ID(id)] {
 				begun[ID(id)] = true
-				h.begun = append(h.begun, h.now.Sub(h.cameAt[ID(id)]))
+				h.startDelays = append(h.startDelays, h.now.Sub(h.cameAt[ID(id)]))
 			}
 		}
 	}
@@ -235,9 +235,9 @@
 func TestAdmittedJobsStartSoonOnANarrowLink(t *testing.T) {
 	h := newHerd(t)
 	h.simulate(40 * time.Second)
-	t.Logf("of %d jobs %d accepted, %d started; half of them within %s", h.next, len(h.taken), len(h.begun), median(h.begun))
-	require.Less(t, median(h.begun), 2500*time.Millisecond)
-	require.Greater(t, len(h.begun), 400, "the link carries some 15 jobs a second")
+	t.Logf("of %d jobs %d accepted, %d started; half of them within %s", h.next, len(h.acceptedAt), len(h.startDelays), median(h.startDelays))
+	require.Less(t, median(h.startDelays), 2500*time.Millisecond)
+	require.Greater(t, len(h.startDelays), 400, "the link carries some 15 jobs a second")
 }
 
 func TestGrowingFractionKeepsAdmittedJobs(t *testing.T) {
--- a/job/advice.go
+++ b/job/advice.go
@@ -51,8 +51,8 @@
 
 // adviceName returns the name by which the advice service knows the step.
 func (s *step) adviceName() string {
-	n := s.of
-	return string(n.job.id) + "." + strconv.Itoa(n.k) + "." + strconv.Itoa(s.index)
+	n := s.instance
+	return string(n.job.id) + "." + strconv.Itoa(n.index) + "." + strconv.Itoa(s.index)
 }
 
 // adviceTicket returns the ticket for the step on the worker. If there is none, it
@@ -74,7 +74,7 @@
 		return
 	}
 	var l []platform.WorkerID
-	for _, w := range c.pools[s.of.job.queue.Service] {
+	for _, w := range c.pools[s.instance.job.queue.Service] {
 		t, has := a.tickets[w.ID]
 		fresh := has && c.now.Add(ticketMargin).Before(t.until)
 		rejected := a.asked[w.ID] && !has
@@ -87,7 +87,7 @@
 	}
 	a.pending = true
 	l = l[:min(len(l), platform.MaxAdvised)]
-	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Terms: *s.of.job.queue.Advice, Key: s.tasks[0].key()})
+	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Terms: *s.instance.job.queue.Advice, Key: s.tasks[0].key()})
 }
 
 // ruledOut reports whether the advice service has ruled the worker out.
@@ -102,10 +102,10 @@
 // apply records the tickets that the advice service has issued.
 func (e AdviceResult) apply(c *Core) {
 	t := c.task(e.Key)
-	if t == nil || t.of.advice == nil {
+	if t == nil || t.step.advice == nil {
 		return
 	}
-	a := t.of.advice
+	a := t.step.advice
 	a.pending = false
 	if e.Err != nil {
 		a.retryAt = c.now.Add(adviceRetry)
@@ -118,5 +118,5 @@
 	for _, v := range e.Tickets {
 		a.tickets[v.Worker] = ticket{text: v.Text, until: c.now.Add(e.Valid)}
 	}
-	c.replan(t.of.of.job.queue.Service)
+	c.replan(t.step.instance.job.queue.Service)
 }
--- a/job/availability.go
+++ b/job/availability.go
@@ -33,8 +33,8 @@
 // mayStop reports whether a stop of the run may be ordered now: the disruption budget of its
 // step allows it, or the run is not ready anyway.
 func (c *Core) mayStop(r *run) bool {
-	s := r.task.of
-	if !s.hasDisruptionBudget() || s.of.job.state.Final() {
+	s := r.task.step
+	if !s.hasDisruptionBudget() || s.instance.job.state.Final() {
 		return true
 	}
 	return s.allowsDisruption(r.task, c.now) || r.confirmedUnready(c.now)
@@ -63,7 +63,7 @@
 		return false
 	}
 	for _, r := range t.runs {
-		if !r.at.recentlyPolled(now) || r.mayBeStopping() || now.Before(r.lateStopUntil) {
+		if !r.worker.recentlyPolled(now) || r.mayBeStopping() || now.Before(r.lateStopUntil) {
 			return false
 		}
 	}
@@ -79,17 +79,17 @@
 // an earlier owner is still in progress: its worker accepted that owner's orders until it
 // first answered this one.
 func (r *run) mayBeStopping() bool {
-	return r.adopted && r.at.answeredPollSentAt.Before(r.sentAt.Add(maxStopTime))
+	return r.adopted && r.worker.answeredPollSentAt.Before(r.sentAt.Add(maxStopTime))
 }
 
 // confirmedUnready reports whether the run is known not to be ready at this moment. The age of
 // the run does not prove it: if its start was carried out late or polls were slow, a run that
 // was warming up at the last poll may be ready by now.
 func (r *run) confirmedUnready(now time.Time) bool {
-	if !r.absent && !r.stuck(now) || now.Sub(r.at.polledAt) > promptPoll {
+	if !r.absent && !r.stuck(now) || now.Sub(r.worker.polledAt) > promptPoll {
 		return false
 	}
-	return now.Sub(r.at.answeredPollSentAt) <= promptPoll || r.waitedForPoll(now)
+	return now.Sub(r.worker.answeredPollSentAt) <= promptPoll || r.waitedForPoll(now)
 }
 
 // waitedForPoll reports whether the run has waited for a prompt poll for so long that a slow one
@@ -128,7 +128,7 @@
 // budget.
 func (w *worker) anyBudgeted(f func(*run) bool) bool {
 	for _, r := range w.runs {
-		if r.task.of.hasDisruptionBudget() && f(r) {
+		if r.task.step.hasDisruptionBudget() && f(r) {
 			return true
 		}
 	}
@@ -142,7 +142,7 @@
 	case r.phase == unconfirmed && !r.absent:
 		return true
 	case r.phase == unconfirmed, r.phase == stopping && !r.stopConfirmed, r.stuck(now):
-		return !r.task.of.allowsDisruption(r.task, now)
+		return !r.task.step.allowsDisruption(r.task, now)
 	}
 	return false
 }
@@ -163,13 +163,13 @@
 	r.phase = running
 	r.stopDeferred = false
 	r.lateStopUntil = c.now.Add(maxOrderDelay)
-	c.noteRun(r, "stop withdrawn", "it is ready, and the disruption budget of its step is used up", c.stopInputs(r))
+	c.logRun(r, "stop withdrawn", "it is ready, and the disruption budget of its step is used up", c.stopInputs(r))
 }
 
 // stopInputs returns the log fields that explain whether a lasting run may be stopped: which
 // others of its step are unavailable and since when, and how old the last poll of the run is.
 func (c *Core) stopInputs(r *run) []any {
-	s := r.task.of
+	s := r.task.step
 	if !s.hasDisruptionBudget() {
 		return nil
 	}
@@ -182,7 +182,7 @@
 	}
 	return []any{
 		"away", len(unavailable), "away_tasks", unavailable, "away_ms", longest.Milliseconds(), "may_miss", s.MaxUnavailable,
-		"percent", r.percent, "at_work", r.task.ready, "look_ms", c.now.Sub(r.at.polledAt).Milliseconds(), "age_ms", c.now.Sub(r.sentAt).Milliseconds(),
+		"percent", r.percent, "at_work", r.task.ready, "look_ms", c.now.Sub(r.worker.polledAt).Milliseconds(), "age_ms", c.now.Sub(r.sentAt).Milliseconds(),
 	}
 }
 
@@ -192,5 +192,5 @@
 		return
 	}
 	r.stopDeferred = true
-	c.noteRun(r, "stop deferred", "the disruption budget of its step is used up", c.stopInputs(r))
+	c.logRun(r, "stop deferred", "the disruption budget of its step is used up", c.stopInputs(r))
 }
--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -29,7 +29,7 @@
 		for end := f.now.Add(d); f.now.Before(end); {
 			f.pass(200 * time.Millisecond)
 			f.pollAll(at)
-			if _, ok := f.looks[moved.Worker.ID]; ok && percent < 90 {
+			if _, ok := f.polls[moved.Worker.ID]; ok && percent < 90 {
 				percent += 5
 				f.answer(string(moved.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(moved, percent)}})
 			}
@@ -40,13 +40,13 @@
 	f.join("w5")
 	warm(warmUp)
 	require.Len(t, f.stops(), 1, "the task on w2 may be unavailable")
-	require.Len(t, f.noted("stop deferred"), 1)
+	require.Len(t, f.logged("stop deferred"), 1)
 }
 
 // moveFrom has the run on the worker end as stopped, and returns the start that follows
 // elsewhere.
 func (f *fixture) moveFrom(id platform.WorkerID, at map[platform.WorkerID]StartRun) StartRun {
-	if _, ok := f.looks[id]; !ok {
+	if _, ok := f.polls[id]; !ok {
 		f.step(StopResult{Worker: id, Run: at[id].Order.Run, Task: at[id].Order.Task, Clock: f.clock})
 	}
 	f.answer(string(id), platform.PollReply{Ended: []platform.EndedRow{ended(1, at[id], platform.EndStopped)}})
@@ -54,7 +54,7 @@
 	f.pass(tickEvery)
 	l := f.starts()
 	require.Len(f.t, l, 1)
-	f.took(l[0])
+	f.acceptStart(l[0])
 	return l[0]
 }
 
@@ -78,7 +78,7 @@
 
 // answerLate answers the poll in flight, which was sent the given time ago.
 func (f *fixture) answerLate(id platform.WorkerID, took time.Duration, r platform.PollReply) {
-	delete(f.looks, id)
+	delete(f.polls, id)
 	r.Clock = f.clock
 	f.step(PollResult{Worker: id, SentAt: f.now.Add(-took), Poll: r})
 }
@@ -96,7 +96,7 @@
 	for range 2 {
 		f.pass(400 * time.Millisecond)
 		f.pollAll(at)
-		if _, ok := f.looks["w4"]; ok {
+		if _, ok := f.polls["w4"]; ok {
 			f.answerLate("w4", 400*time.Millisecond, platform.PollReply{})
 		}
 		f.pass(tickEvery)
@@ -111,12 +111,12 @@
 func TestStalledRunIsStoppedOnlyWhenKnownUnready(t *testing.T) {
 	f := newFixture(t)
 	at, moved := missPolls(f)
-	f.took(moved)
+	f.acceptStart(moved)
 	reply := platform.PollReply{Running: []platform.RunningRow{runningRow(moved, 40)}}
 	for range 9 {
 		f.pass(400 * time.Millisecond)
 		f.pollAll(at)
-		if _, ok := f.looks["w4"]; ok {
+		if _, ok := f.polls["w4"]; ok {
 			f.answerLate("w4", 400*time.Millisecond, reply)
 		}
 	}
@@ -124,12 +124,12 @@
 	f.pass(400 * time.Millisecond)
 	f.answer("w4", reply)
 	require.Len(t, f.stops(), 1)
-	require.Equal(t, "it makes no progress", f.noted("stop")[0].Why)
+	require.Equal(t, "it makes no progress", f.logged("stop")[0].Why)
 }
 
 // Behind a slow link no poll is prompt, and the starts of all tasks of a step may be
 // unconfirmed. They must not wait for one another forever.
-func TestUnconfirmedStartsAreResolvedWhenPollsAreSlow(t *testing.T) {
+func TestUnconfirmedStartsAreSettledWhenPollsAreSlow(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
 	s := oneTask()
@@ -140,7 +140,7 @@
 	}
 	for range 20 {
 		f.pass(400 * time.Millisecond)
-		if _, ok := f.looks["w1"]; ok {
+		if _, ok := f.polls["w1"]; ok {
 			f.answerLate("w1", 400*time.Millisecond, platform.PollReply{})
 		}
 	}
@@ -163,7 +163,7 @@
 	f.step(StopResult{Worker: "w1", Run: w1.Order.Run, Task: w1.Order.Task, Err: common.ErrUnknown})
 	f.passReady(at, time.Second)
 	require.Len(t, f.stops(), 1, "it is ready, and the task on w2 may be unavailable")
-	require.Len(t, f.noted("stop withdrawn"), 1)
+	require.Len(t, f.logged("stop withdrawn"), 1)
 }
 
 // Two stops that were not answered must not wait for one another forever.
@@ -196,7 +196,7 @@
 		return platform.PollReply{Running: []platform.RunningRow{{Task: k.String(), Run: int64(99*runsPerFence + index), Percent: 100}}}
 	}
 	answer := func(id platform.WorkerID, index int) {
-		if _, ok := f.looks[id]; ok {
+		if _, ok := f.polls[id]; ok {
 			f.answer(string(id), reply(index))
 		}
 	}
--- a/job/bench_test.go
+++ b/job/bench_test.go
@@ -40,7 +40,7 @@
 	step := platform.Step{Count: 5, Resources: platform.Resources{MilliCores: 4000, MemoryMB: 100}, Estimate: time.Second}
 	for i := range workers/5 + jobs {
 		r := NewRecord(c.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{step}}, now)
-		do(JobAccepted{ID: ID(fmt.Sprintf("%016x", i)), Record: r, Created: platform.Revision(1000 + i)})
+		do(Accepted{ID: ID(fmt.Sprintf("%016x", i)), Record: r, Created: platform.Revision(1000 + i)})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/job/cancel_test.go
+++ b/job/cancel_test.go
@@ -65,9 +65,9 @@
 	f.loseStartReply(l[0])
 	f.step(CancelRequested{ID: idA})
 	f.fail("w1", platform.ErrUnknown)
-	for f.core.workers["w1"].find(taskKey{id: idA}, l[0].Order.Run) != nil {
+	for f.core.workers["w1"].findRun(taskKey{id: idA}, l[0].Order.Run) != nil {
 		f.pass(tickEvery)
-		if _, ok := f.looks["w1"]; ok {
+		if _, ok := f.polls["w1"]; ok {
 			f.fail("w1", platform.ErrUnknown)
 		}
 	}
@@ -81,7 +81,7 @@
 // stops the run after the first poll that lists it, and again if that order gets no response.
 func TestNextOwnerStopsRunsOfCancelledJobs(t *testing.T) {
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{lastingTask()}}, time.Unix(1e9, 0))
-	accepted := []JobAccepted{{ID: idA, Record: rec, Created: 50}}
+	accepted := []Accepted{{ID: idA, Record: rec, Created: 50}}
 	for name, e := range map[string]Inherited{
 		"marked":    {Jobs: accepted, Cancels: []ID{idA}},
 		"final":     {Progress: map[ID]Progress{idA: {State: platform.StateCancelled}}},
@@ -136,7 +136,7 @@
 	f.submit(idA, "quick", s)
 	var ends []platform.EndedRow
 	for i, l := range f.starts() {
-		f.took(l)
+		f.acceptStart(l)
 		ends = append(ends, ended(int64(i+1), l, platform.EndDone))
 	}
 	require.Len(t, ends, jobsPerWrite+1)
@@ -177,14 +177,14 @@
 }
 
 // Polls that do not wait would be sent in a tight loop while the run stops.
-func TestLookWaitsForTheEndOfARunThatIsStopped(t *testing.T) {
+func TestPollWaitsForTheEndOfAStoppedRun(t *testing.T) {
 	f := newOwnerFixture(t, 200)
 	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}})
 	late := StartRun{Worker: testWorker("w1"), Order: platform.StartOrder{Task: taskKey{id: idA}.String(), Run: 7}}
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(late, 100)}})
 	f.step(StopResult{Worker: "w1", Run: 7, Task: late.Order.Task, Clock: f.clock})
 	f.pass(2 * tickEvery)
-	require.Equal(t, pollWait, f.looks["w1"].Order.Wait)
+	require.Equal(t, pollWait, f.polls["w1"].Order.Wait)
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, late, platform.EndStopped)}})
 	require.Empty(t, f.core.workers["w1"].orphans)
 	f.submit(idB, "quick", oneTask())
--- a/job/capacity_test.go
+++ b/job/capacity_test.go
@@ -27,7 +27,7 @@
 	l := f.starts()
 	require.Len(t, l, 4)
 	for _, r := range l {
-		f.took(r)
+		f.acceptStart(r)
 	}
 	f.step(shrunk(2000))
 	f.submit(idB, "quick", oneTask())
@@ -51,7 +51,7 @@
 	f.submit(idA, "patient", s)
 	l := f.starts()
 	for _, r := range l {
-		f.took(r)
+		f.acceptStart(r)
 	}
 	f.step(shrunk(3000))
 	f.step(CancelRequested{ID: idA})
@@ -79,7 +79,7 @@
 	rec := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{s}}, f.now)
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{shrunk(2000).Worker},
-		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 50}},
 		Roster: Roster{Workers: []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1", Address: testWorker("w1").Address}}},
 	})
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{
--- a/job/config_sync.go
+++ b/job/config_sync.go
@@ -112,5 +112,5 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	_, _ = w.Write(c.written)
+	_, _ = w.Write(c.raw)
 }
--- a/job/core.go
+++ b/job/core.go
@@ -170,17 +170,17 @@
 }
 
 // apply adds a job.
-func (e JobAccepted) apply(c *Core) {
+func (e Accepted) apply(c *Core) {
 	if c.jobs[e.ID] != nil {
 		return
 	}
-	j := c.add(e.ID, e.Record, e.Created, Progress{})
+	j := c.addJob(e.ID, e.Record, e.Created, Progress{})
 	j.overShare = j.team.spend(c.now)
 	c.reorder(j.queue.Service)
 	c.recordArrival(j, c.now)
 }
 
-func (c *Core) add(id ID, r Record, created platform.Revision, p Progress) *job {
+func (c *Core) addJob(id ID, r Record, created platform.Revision, p Progress) *job {
 	j := &job{
 		Record:         r,
 		id:             id,
@@ -191,8 +191,8 @@
 		state:          platform.StateQueued,
 		storedState:    p.State,
 		instances:      map[int]*instance{},
-		oldestInstance: p.Past,
-		nextInstance:   p.Past,
+		oldestInstance: p.OldestInstance,
+		nextInstance:   p.OldestInstance,
 	}
 	if p.State != "" {
 		j.state = p.State
--- a/job/core_test.go
+++ b/job/core_test.go
@@ -22,7 +22,7 @@
 	now  time.Time
 	// out holds the actions that were not yet taken.
 	out   []Action
-	looks map[platform.WorkerID]PollWorker
+	polls map[platform.WorkerID]PollWorker
 	// holdWrites leaves writes unanswered.
 	holdWrites bool
 	// ownerKeys holds the owner's keys after all writes so far, answered or not.
@@ -35,8 +35,8 @@
 // ownerStore holds the entries under ownerOnlyPrefix.
 type ownerStore map[string][]byte
 
-// take applies a write.
-func (s ownerStore) take(a WriteStore) {
+// apply applies a write.
+func (s ownerStore) apply(a WriteStore) {
 	for _, p := range a.Puts {
 		if strings.HasPrefix(p.Key, ownerOnlyPrefix) {
 			s[p.Key] = p.Value
@@ -71,7 +71,7 @@
 }
 
 func newOwnerFixture(t *testing.T, fence platform.Fence) *fixture {
-	f := &fixture{t: t, now: time.Unix(1e9, 0), looks: map[platform.WorkerID]PollWorker{}, ownerKeys: ownerStore{}, clock: 1000, revision: platform.Revision(fence)}
+	f := &fixture{t: t, now: time.Unix(1e9, 0), polls: map[platform.WorkerID]PollWorker{}, ownerKeys: ownerStore{}, clock: 1000, revision: platform.Revision(fence)}
 	f.core = NewCore(fence, "entry-1", Size{}, f.now)
 	f.step(ConfigChanged{Config: testConfig()})
 	return f
@@ -95,9 +95,9 @@
 		f.out = append(f.out, a)
 		switch a := a.(type) {
 		case PollWorker:
-			f.looks[a.Worker.ID] = a
+			f.polls[a.Worker.ID] = a
 		case WriteStore:
-			f.ownerKeys.take(a)
+			f.ownerKeys.apply(a)
 			if !f.holdWrites {
 				f.revision++
 				f.step(WriteResult{Number: a.Number, Revision: f.revision})
@@ -141,15 +141,15 @@
 
 // answer answers the pending poll of a worker.
 func (f *fixture) answer(id string, l platform.PollReply) {
-	a, ok := f.looks[platform.WorkerID(id)]
+	a, ok := f.polls[platform.WorkerID(id)]
 	require.True(f.t, ok, "no poll of %s is pending", id)
-	delete(f.looks, platform.WorkerID(id))
+	delete(f.polls, platform.WorkerID(id))
 	l.Clock = f.clock
 	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Acked: a.Order.LastSeen, Poll: l})
 }
 
 func (f *fixture) fail(id string, err error) {
-	delete(f.looks, platform.WorkerID(id))
+	delete(f.polls, platform.WorkerID(id))
 	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Err: err})
 }
 
@@ -178,7 +178,7 @@
 	return l
 }
 
-func (f *fixture) took(s StartRun) {
+func (f *fixture) acceptStart(s StartRun) {
 	f.step(StartResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Clock: f.clock})
 }
 
@@ -186,7 +186,7 @@
 	q := f.core.queues[queue]
 	r := NewRecord(q, platform.Submission{Spec: "spec", Steps: steps}, f.now)
 	require.NoError(f.t, r.Check())
-	f.step(JobAccepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
+	f.step(Accepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
 }
 
 // state returns the state of the job idA after a tick, in which due writes are made.
@@ -221,13 +221,13 @@
 	require.Equal(t, platform.StateQueued, f.state())
 	l := f.starts()
 	require.Len(t, l, 1, "the second step waits for the first")
-	f.took(l[0])
+	f.acceptStart(l[0])
 	require.Equal(t, platform.StateRunning, f.state())
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	next := f.starts()
 	require.Len(t, next, 2)
-	f.took(next[0])
-	f.took(next[1])
+	f.acceptStart(next[0])
+	f.acceptStart(next[1])
 	f.pass(200 * time.Millisecond)
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(2, next[0], platform.EndDone), ended(3, next[1], platform.EndDone)}})
@@ -241,18 +241,18 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask(), platform.Step{Count: 1, After: []int{0}})
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	f.pass(pollWait + 200*time.Millisecond)
-	if a, ok := f.looks["w1"]; ok {
+	if a, ok := f.polls["w1"]; ok {
 		require.Zero(t, a.Order.LastSeen)
 		f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	}
 	f.holdWrites = false
 	f.step(WriteResult{Number: f.core.writeNumber})
 	f.pass(time.Second)
-	require.EqualValues(t, 1, f.looks["w1"].Order.LastSeen)
+	require.EqualValues(t, 1, f.polls["w1"].Order.LastSeen)
 }
 
 func TestUnansweredStartIsStoppedBeforeTheTaskRunsElsewhere(t *testing.T) {
@@ -264,7 +264,7 @@
 	id := string(l[0].Worker.ID)
 	for range 10 {
 		f.pass(100 * time.Millisecond)
-		if _, ok := f.looks[platform.WorkerID(id)]; ok {
+		if _, ok := f.polls[platform.WorkerID(id)]; ok {
 			f.answer(id, platform.PollReply{})
 		}
 	}
@@ -292,20 +292,20 @@
 	require.Empty(t, f.stops())
 }
 
-func TestSilentWorkerIsGivenUpWhenItsLeaseHasLapsedAndNotBefore(t *testing.T) {
+func TestSilentWorkerIsGivenUpOnlyOnceItsLeaseHasExpired(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.join("w2")
 	begun := f.now
 	f.fail("w1", platform.ErrUnknown)
 	for len(f.starts()) == 0 {
 		require.Less(t, f.now.Sub(begun), 2*leaseFor, "the run is never given up")
 		f.pass(tickEvery)
-		if _, ok := f.looks["w1"]; ok {
-			require.Zero(t, f.looks["w1"].Order.Until, "a poll of a silent worker extends its lease")
+		if _, ok := f.polls["w1"]; ok {
+			require.Zero(t, f.polls["w1"].Order.Until, "a poll of a silent worker extends its lease")
 			f.fail("w1", platform.ErrUnknown)
 		}
 	}
@@ -319,13 +319,13 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	s := f.starts()[0]
-	f.took(s)
+	f.acceptStart(s)
 	f.join("w2")
 	f.passWithoutStore(time.Second)
 	f.fail("w1", common.ErrUnknown)
 	for range 80 {
 		f.passWithoutStore(100 * time.Millisecond)
-		if _, ok := f.looks["w1"]; ok {
+		if _, ok := f.polls["w1"]; ok {
 			f.fail("w1", common.ErrUnknown)
 		}
 	}
@@ -341,7 +341,7 @@
 	f.clock = 0
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
-	f.took(f.starts()[0])
+	f.acceptStart(f.starts()[0])
 	f.join("w2")
 	f.clock = 500
 	f.step(PollResult{Worker: "w1", SentAt: f.now, Poll: platform.PollReply{Clock: f.clock}})
@@ -355,7 +355,7 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndFailed)}})
 	p := f.core.progress(f.core.jobs[idA])
 	rec := f.core.jobs[idA].Record
@@ -363,13 +363,13 @@
 	next := newOwnerFixture(t, 200)
 	next.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1")},
-		Jobs: []JobAccepted{{ID: idA, Record: rec, Created: 50}}, Progress: map[ID]Progress{idA: p},
+		Jobs: []Accepted{{ID: idA, Record: rec, Created: 50}}, Progress: map[ID]Progress{idA: p},
 	})
 	next.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndFailed)}})
 	require.Equal(t, platform.StateRunning, next.state(), "one failed run was counted twice")
 	again := next.starts()
 	require.Len(t, again, 1)
-	next.took(again[0])
+	next.acceptStart(again[0])
 	next.pass(100 * time.Millisecond)
 	next.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(2, again[0], platform.EndFailed)}})
 	require.Equal(t, platform.StateFailed, next.state())
@@ -390,7 +390,7 @@
 	gone := RosterEntry{ID: "w2", Service: "blue", Host: "host-of-w2", Address: netip.MustParseAddrPort("10.0.0.2:80")}
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1")},
-		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 50}},
 		Roster: Roster{Workers: []RosterEntry{gone}},
 	})
 	f.answer("w1", platform.PollReply{})
@@ -406,7 +406,7 @@
 	rec := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{oneTask()}}, f.now)
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1")},
-		Jobs: []JobAccepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs: []Accepted{{ID: idA, Record: rec, Created: 50}},
 	})
 	task := taskKey{id: idA}.String()
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: task, Run: 7, Percent: 30}, {Task: taskKey{id: idB}.String(), Run: 8}}})
@@ -422,7 +422,7 @@
 	f.join("w1", "w2")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	stale := testWorker("older")
 	stale.Host = l[0].Worker.Host
 	f.step(WorkerListed{Worker: stale})
@@ -450,7 +450,7 @@
 	require.Len(t, l, 3)
 	require.Equal(t, l[0].Order.Run, l[2].Order.Run)
 	for _, s := range l {
-		f.took(s)
+		f.acceptStart(s)
 	}
 	f.answer(string(l[0].Worker.ID), platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	require.Equal(t, platform.StateSucceeded, f.state())
@@ -462,7 +462,7 @@
 	r := NewRecord(f.core.queues["quick"], platform.Submission{
 		Spec: "s", Steps: []platform.Step{oneTask()}, Times: 2, First: f.now.Add(time.Second), Every: time.Second,
 	}, f.now)
-	f.step(JobAccepted{ID: idA, Record: r, Created: 1000})
+	f.step(Accepted{ID: idA, Record: r, Created: 1000})
 	f.pass(900 * time.Millisecond)
 	require.Empty(t, f.starts())
 	f.pass(200 * time.Millisecond)
@@ -493,7 +493,7 @@
 			s.Lasting = true
 			f.submit(idA, "quick", s)
 			l := f.starts()
-			f.took(l[0])
+			f.acceptStart(l[0])
 			f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], how)}})
 			f.pass(shortRunRestartDelay + 100*time.Millisecond)
 			require.Len(t, f.starts(), 1)
@@ -530,7 +530,7 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	f.pass(tickEvery)
@@ -546,11 +546,11 @@
 	f.join("w1", "w2", "w3", "w4")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	id := string(l[0].Worker.ID)
 	for range 20 {
 		f.pass(200 * time.Millisecond)
-		if _, ok := f.looks[l[0].Worker.ID]; ok {
+		if _, ok := f.polls[l[0].Worker.ID]; ok {
 			f.answer(id, platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 10)}})
 		}
 	}
@@ -568,8 +568,8 @@
 	f.join("w1", "w2")
 	f.submit(idA, "quick", oneTask(), oneTask())
 	l := f.starts()
-	f.took(l[0])
-	f.took(l[1])
+	f.acceptStart(l[0])
+	f.acceptStart(l[1])
 	f.pass(time.Second)
 	id := string(l[0].Worker.ID)
 	rows := []platform.RunningRow{runningRow(l[0], 10)}
@@ -617,7 +617,7 @@
 			for _, id := range ids[:n] {
 				w := f.core.workers[platform.WorkerID(id)]
 				w.missedPolls = max(1, w.missedPolls)
-				if _, ok := f.looks[w.ID]; ok {
+				if _, ok := f.polls[w.ID]; ok {
 					f.fail(id, platform.ErrUnknown)
 				}
 			}
@@ -639,7 +639,7 @@
 	require.Len(t, l, 3)
 	var rows []platform.RunningRow
 	for _, s := range l {
-		f.took(s)
+		f.acceptStart(s)
 		rows = append(rows, runningRow(s, 20))
 	}
 	f.pass(100 * time.Millisecond)
@@ -659,21 +659,21 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.join("w2")
 	f.fail("w1", platform.ErrUnknown)
 	var again []StartRun
 	for len(again) == 0 {
 		f.pass(tickEvery)
-		if _, ok := f.looks["w1"]; ok {
+		if _, ok := f.polls["w1"]; ok {
 			f.fail("w1", platform.ErrUnknown)
 		}
 		again = f.starts()
 	}
-	f.took(again[0])
+	f.acceptStart(again[0])
 	for range 5 {
 		f.pass(300 * time.Millisecond)
-		if a, ok := f.looks["w1"]; ok {
+		if a, ok := f.polls["w1"]; ok {
 			require.Zero(t, a.Order.LastSeen)
 			f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 		}
@@ -682,7 +682,7 @@
 	f.answer("w2", platform.PollReply{Ended: []platform.EndedRow{ended(1, again[0], platform.EndDone)}})
 	require.Equal(t, platform.StateSucceeded, f.state())
 	f.pass(2 * time.Second)
-	if a, ok := f.looks["w1"]; ok {
+	if a, ok := f.polls["w1"]; ok {
 		require.Zero(t, a.Order.LastSeen)
 	}
 	require.False(t, f.core.workers["w1"].acceptsStarts(f.now))
--- a/job/crash.go
+++ b/job/crash.go
@@ -102,12 +102,12 @@
 func (c *Core) attributeCrash(suspects []*run) {
 	alone := true
 	for _, r := range suspects {
-		alone = alone && r.task.of.of.job == suspects[0].task.of.of.job
+		alone = alone && r.task.step.instance.job == suspects[0].task.step.instance.job
 	}
 	for _, r := range suspects {
 		switch {
 		case r.crashCounted:
-		case r.at.runs[r.id()] == r:
+		case r.worker.runs[r.id()] == r:
 			r.crashSuspect, r.soleCrashSuspect = true, alone
 		default:
 			c.countCrash(r, alone)
@@ -125,7 +125,7 @@
 // countCrash counts a crash against the run's task, and fails its job after too many.
 func (c *Core) countCrash(r *run, alone bool) {
 	t := r.task
-	j := t.of.of.job
+	j := t.step.instance.job
 	if t.done || j.state.Final() {
 		return
 	}
@@ -135,12 +135,12 @@
 		t.crashes.Confirmed++
 	}
 	c.crashesChanged(j)
-	c.noteRun(r, "crash counted", "", []any{
+	c.logRun(r, "crash counted", "", []any{
 		"crashes", t.crashes.All, "begun_at", t.crashes.Confirmed, "alone", alone, "lived_ms", r.knownAge().Milliseconds(),
 	})
 	// Hosts that crash one after the other may hit a lasting task again and again. To fail its
 	// job would stop all of its ready tasks, so the task is started less often instead.
-	if t.of.Lasting {
+	if t.step.Lasting {
 		t.notBefore = latest(t.notBefore, c.now.Add(t.crashes.backoff()))
 		return
 	}
@@ -157,7 +157,7 @@
 		return
 	}
 	t.crashes = crashes{}
-	c.crashesChanged(t.of.of.job)
+	c.crashesChanged(t.step.instance.job)
 }
 
 // crashesChanged has the job's crash counts written before its isolated tasks start again.
@@ -180,7 +180,7 @@
 	if now.Before(t.notBefore) {
 		return false
 	}
-	j := t.of.of.job
+	j := t.step.instance.job
 	return !t.isolated() || j.crashVersion == j.storedCrashVersion
 }
 
--- a/job/crash_lasting_test.go
+++ b/job/crash_lasting_test.go
@@ -24,7 +24,7 @@
 	s.Count, s.MaxPerWorker, s.Lasting, s.MaxUnavailable = 5, 1, true, 1
 	f.submit(idA, "patient", s)
 	for _, r := range f.starts() {
-		f.took(r)
+		f.acceptStart(r)
 		at[r.Worker.ID] = r
 	}
 	f.passReady(at, stableAfter)
@@ -34,7 +34,7 @@
 		f.pass(2 * tickEvery)
 		l := f.starts()
 		require.Len(f.t, l, 1, "start %d", n)
-		f.took(l[0])
+		f.acceptStart(l[0])
 		f.fail(id, platform.ErrOtherIncarnation)
 	}
 	return at
@@ -60,11 +60,11 @@
 	s := oneTask()
 	s.Lasting = true
 	f.submit(idA, "patient", s)
-	f.play(2 * time.Minute)
+	f.simulate(2 * time.Minute)
 	require.LessOrEqual(t, f.crashes, 8)
 	before := f.crashes
-	f.succeed()
-	f.play(maxCrashBackoff - time.Second)
+	f.replaceOwner()
+	f.simulate(maxCrashBackoff - time.Second)
 	require.Equal(t, before, f.crashes, "the next owner waits as well")
 	require.Equal(t, platform.StateRunning, f.state())
 }
--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -27,12 +27,12 @@
 	*fixture
 	workers int
 	crashes int
-	// kept holds the stored progress of each job.
-	kept map[ID]Progress
+	// stored holds the stored progress of each job.
+	stored map[ID]Progress
 }
 
 func newCrashing(t *testing.T, workers int) *crashing {
-	f := &crashing{fixture: newFixture(t), kept: map[ID]Progress{}}
+	f := &crashing{fixture: newFixture(t), stored: map[ID]Progress{}}
 	for range workers {
 		f.addWorker()
 	}
@@ -45,8 +45,8 @@
 	f.join(fmt.Sprint("life-", f.workers))
 }
 
-// record applies the writes since the last call to the stored progress.
-func (f *crashing) record() {
+// applyWrites applies the writes since the last call to the stored progress.
+func (f *crashing) applyWrites() {
 	for _, a := range f.out {
 		w, ok := a.(WriteStore)
 		if !ok {
@@ -54,23 +54,23 @@
 		}
 		for _, p := range w.Puts {
 			if id, progress, err := decodeProgress(platform.Entry{Key: p.Key, Value: p.Value}); err == nil && strings.HasPrefix(p.Key, progressPrefix) {
-				f.kept[id] = progress
+				f.stored[id] = progress
 			}
 		}
 	}
 }
 
-// play lets time pass: starts are accepted, and a worker that starts a task of idA crashes.
+// simulate lets time pass: starts are accepted, and a worker that starts a task of idA crashes.
 // Other tasks succeed after half a second.
-func (f *crashing) play(d time.Duration) {
+func (f *crashing) simulate(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
-		f.record()
+		f.applyWrites()
 		for _, s := range f.starts() {
 			if f.core.workers[s.Worker.ID] == nil {
 				continue
 			}
-			f.took(s)
+			f.acceptStart(s)
 			if strings.HasPrefix(s.Order.Task, idA) {
 				f.crash(s.Worker.ID)
 			}
@@ -90,7 +90,7 @@
 // endOthers has runs of jobs other than idA succeed after half a second.
 func (f *crashing) endOthers() {
 	for id, w := range f.core.workers {
-		if _, ok := f.looks[id]; !ok {
+		if _, ok := f.polls[id]; !ok {
 			continue
 		}
 		var l platform.PollReply
@@ -108,22 +108,22 @@
 	}
 }
 
-// succeed replaces the owner by the next one, which inherits what the store holds and the
+// replaceOwner replaces the owner by the next one, which inherits what the store holds and the
 // workers that exist.
-func (f *crashing) succeed() {
-	f.record()
+func (f *crashing) replaceOwner() {
+	f.applyWrites()
 	before := f.core
 	roster := f.roster()
 	f.now = f.now.Add(ownerTTL)
 	f.core = NewCore(before.fence+1000, "entry-2", Size{}, f.now)
-	f.looks = map[platform.WorkerID]PollWorker{}
-	e := Inherited{Config: testConfig(), Progress: f.kept, Roster: roster}
+	f.polls = map[platform.WorkerID]PollWorker{}
+	e := Inherited{Config: testConfig(), Progress: f.stored, Roster: roster}
 	for _, w := range before.workers {
 		e.Workers = append(e.Workers, w.Worker)
 	}
 	for id, j := range before.jobs {
-		if !f.kept[id].State.Final() {
-			e.Jobs = append(e.Jobs, JobAccepted{ID: id, Record: j.Record, Created: j.created})
+		if !f.stored[id].State.Final() {
+			e.Jobs = append(e.Jobs, Accepted{ID: id, Record: j.Record, Created: j.created})
 		}
 	}
 	f.step(e)
@@ -132,7 +132,7 @@
 func TestTaskThatCrashesWorkersFails(t *testing.T) {
 	f := newCrashing(t, 4)
 	f.submit(idA, "patient", oneTask())
-	f.play(10 * time.Second)
+	f.simulate(10 * time.Second)
 	require.LessOrEqual(t, f.crashes, crashesAllowed)
 	require.Equal(t, platform.StateFailed, f.state())
 }
@@ -140,15 +140,15 @@
 func TestCrashCountsSurviveOwnerChange(t *testing.T) {
 	f := newCrashing(t, 4)
 	f.submit(idA, "patient", oneTask())
-	for n := 0; n < 10 && f.kept[idA].State != platform.StateFailed; n++ {
-		for before := f.crashes; f.crashes == before && f.kept[idA].State != platform.StateFailed; {
-			f.play(tickEvery)
+	for n := 0; n < 10 && f.stored[idA].State != platform.StateFailed; n++ {
+		for before := f.crashes; f.crashes == before && f.stored[idA].State != platform.StateFailed; {
+			f.simulate(tickEvery)
 		}
-		f.play(2 * writeDelay)
-		f.succeed()
+		f.simulate(2 * writeDelay)
+		f.replaceOwner()
 	}
 	require.LessOrEqual(t, f.crashes, crashesAllowed)
-	require.Equal(t, platform.StateFailed, f.kept[idA].State)
+	require.Equal(t, platform.StateFailed, f.stored[idA].State)
 }
 
 // Jobs that share a worker with a task that crashes it must not fail with it.
@@ -158,9 +158,9 @@
 	s.Count = 3
 	f.submit(idA, "patient", oneTask())
 	f.submit(idB, "patient", s)
-	f.play(8 * time.Second)
+	f.simulate(8 * time.Second)
 	require.Equal(t, platform.StateFailed, f.state())
-	require.Equal(t, platform.StateSucceeded, f.kept[idB].State)
+	require.Equal(t, platform.StateSucceeded, f.stored[idB].State)
 }
 
 // Counts in the memory of one owner only would let the next one start from zero.
@@ -168,11 +168,11 @@
 	f := newCrashing(t, 4)
 	f.submit(idA, "patient", oneTask())
 	f.holdWrites = true
-	f.play(3 * time.Second)
+	f.simulate(3 * time.Second)
 	require.Equal(t, isolateFrom, f.crashes)
 	f.holdWrites = false
 	f.step(WriteResult{Number: f.core.writeNumber})
-	f.play(time.Second)
+	f.simulate(time.Second)
 	require.Equal(t, crashLimit, f.crashes)
 }
 
@@ -203,7 +203,7 @@
 		f.join(id)
 		l := f.starts()
 		require.Len(t, l, 1)
-		f.took(l[0])
+		f.acceptStart(l[0])
 		for f.now.Before(f.core.task(taskKey{id: idA}).runs[0].sentAt.Add(stableAfter + time.Second)) {
 			f.pass(pollWait)
 			f.answer(id, platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
--- a/job/demand.go
+++ b/job/demand.go
@@ -41,7 +41,7 @@
 		if s.idle == 0 {
 			continue
 		}
-		t := s.of.job.team
+		t := s.instance.job.team
 		r = r.Plus(workerDemand(s.Step), t.limitToCap(t.usage(), s.Resources, int64(s.idle)))
 	}
 	c.balance.unplaced[service] = r
@@ -107,7 +107,7 @@
 // inService reports whether the worker counts as a host of its pool: it accepts starts, or
 // will do so once it has answered.
 func (c *Core) inService(w *worker) bool {
-	ending := w.Draining || w.leaving || w.stale || w.tainted
+	ending := w.Draining || w.cordoned || w.stale || w.tainted
 	return !ending && w.missedPolls < maxMissedPolls && c.listedByHost[w.Host] == w
 }
 
@@ -149,8 +149,8 @@
 	var n int64
 	for _, w := range c.pools[service] {
 		for _, r := range w.runs {
-			if r.task.of.Lasting && !r.task.of.BestEffort {
-				n += r.task.of.MilliCores
+			if r.task.step.Lasting && !r.task.step.BestEffort {
+				n += r.task.step.MilliCores
 			}
 		}
 	}
--- a/job/ends.go
+++ b/job/ends.go
@@ -38,7 +38,7 @@
 	if !ok {
 		return false
 	}
-	r := w.find(k, e.Run)
+	r := w.findRun(k, e.Run)
 	t := c.task(k)
 	if r != nil {
 		r.detach()
@@ -47,12 +47,12 @@
 	if t == nil {
 		return c.jobs[k.id] != nil
 	}
-	if e.Snapshot != "" && t.of.Checkpoints {
+	if e.Snapshot != "" && t.step.Checkpoints {
 		t.snapshot = e.Snapshot
 	}
 	c.emit(LogLine{What: "end", Job: k.id, Task: e.Task, Run: e.Run, Worker: w.ID, Why: string(e.How), Fields: []any{"number", e.Number}})
 	c.recordOutcome(w, t, e.How)
-	if t.of.Lasting {
+	if t.step.Lasting {
 		c.lastingEnded(t, r, e.How)
 		return false
 	}
@@ -64,8 +64,8 @@
 		c.taskFailed(t, e.Run)
 		return true
 	}
-	if t.of.Gang {
-		c.stopGang(t.of, e.Run)
+	if t.step.Gang {
+		c.stopGang(t.step, e.Run)
 	}
 	return false
 }
@@ -76,7 +76,7 @@
 	if j == nil {
 		return nil
 	}
-	n := j.instances[k.k]
+	n := j.instances[k.instance]
 	if n == nil || k.step >= len(n.steps) || k.index >= len(n.steps[k.step].tasks) {
 		return nil
 	}
@@ -84,19 +84,19 @@
 }
 
 func (c *Core) taskDone(t *task, r *run) {
-	n := t.of.of
+	n := t.step.instance
 	j := n.job
 	c.markStarted(j)
 	c.markDirty(j)
 	if r != nil {
-		t.begunAt = r.sentAt
+		t.startedAt = r.sentAt
 		t.doneAt = c.now
-		t.doneOn = r.at.ID
+		t.doneOn = r.worker.ID
 		c.recordRunTime(r)
 	}
-	if t.of.Gang {
+	if t.step.Gang {
 		// One successful end counts for the whole gang.
-		for _, o := range t.of.tasks {
+		for _, o := range t.step.tasks {
 			n.markDone(o)
 		}
 	} else {
@@ -105,7 +105,7 @@
 	for _, o := range t.runs {
 		c.stop(o, "another copy has succeeded")
 	}
-	if t.of.remaining == 0 {
+	if t.step.remaining == 0 {
 		// Steps that depend on this one may be unblocked.
 		c.reorder(j.queue.Service)
 	}
@@ -115,18 +115,18 @@
 }
 
 func (c *Core) taskFailed(t *task, run int64) {
-	j := t.of.of.job
+	j := t.step.instance.job
 	c.markStarted(j)
 	c.markDirty(j)
-	if t.of.Gang {
+	if t.step.Gang {
 		// The members of a gang share their run numbers, and so their failures.
-		t = t.of.tasks[0]
+		t = t.step.tasks[0]
 	}
-	if t.done || slices.Contains(t.failed, run) {
+	if t.done || slices.Contains(t.failedRuns, run) {
 		return
 	}
-	t.failed = append(t.failed, run)
-	if len(t.failed) >= max(1, j.queue.Attempts) {
+	t.failedRuns = append(t.failedRuns, run)
+	if len(t.failedRuns) >= max(1, j.queue.Attempts) {
 		c.finalise(j, platform.StateFailed, "task "+t.key().String()+" has failed as often as its queue allows")
 	}
 }
--- a/job/events.go
+++ b/job/events.go
@@ -11,8 +11,8 @@
 	apply(c *Core)
 }
 
-// JobAccepted reports that the store holds a new job.
-type JobAccepted struct {
+// Accepted reports that the store holds a new job.
+type Accepted struct {
 	ID      ID
 	Record  Record
 	Created platform.Revision
--- a/job/explain.go
+++ b/job/explain.go
@@ -206,18 +206,18 @@
 )
 
 func explainStep(n *instance, s *step) StepExplanation {
-	v := StepExplanation{Time: n.k, Step: s.index, Tasks: len(s.tasks), Done: len(s.tasks) - s.remaining}
+	v := StepExplanation{Time: n.index, Step: s.index, Tasks: len(s.tasks), Done: len(s.tasks) - s.remaining}
 	switch {
 	case !s.unblocked():
 		v.Waits = waitsForSteps
-	case s.idle > 0 && !s.of.job.team.mayUse(s.Resources, 1):
+	case s.idle > 0 && !s.instance.job.team.mayUse(s.Resources, 1):
 		v.Waits = waitsForCap
 	case s.idle > 0:
 		v.Waits = waitsForRoom
 	}
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			v.Runs = append(v.Runs, RunOverview{Task: t.key().String(), Run: r.number, Worker: r.at.ID, Percent: r.percent, SentAt: r.sentAt})
+			v.Runs = append(v.Runs, RunOverview{Task: t.key().String(), Run: r.number, Worker: r.worker.ID, Percent: r.percent, SentAt: r.sentAt})
 		}
 	}
 	return v
--- a/job/flow.go
+++ b/job/flow.go
@@ -74,15 +74,15 @@
 )
 
 // Sizes of calls in bytes, with headers but without values and specifications. Exceptions are
-// fullStartBytes, a start with a usual specification, and machineBytes, a machine in a list.
+// typicalStartBytes, a start with a usual specification, and machineBytes, a machine in a list.
 const (
-	startBytes     = 300
-	fullStartBytes = 800
-	orderBytes     = 235
-	pollBytes      = 230
-	firstPollBytes = 1200
-	writeBytes     = 400
-	machineBytes   = 150
+	startBytes        = 300
+	typicalStartBytes = 800
+	orderBytes        = 235
+	pollBytes         = 230
+	firstPollBytes    = 1200
+	writeBytes        = 400
+	machineBytes      = 150
 )
 
 // Link capacities in Mbit/s where the settings give none: the capacity that is assumed as
@@ -213,7 +213,7 @@
 func (f *flowControl) timeToSend(starts int) time.Duration {
 	n := f.startRate
 	if n == 0 {
-		n = f.rate / fullStartBytes
+		n = f.rate / typicalStartBytes
 	}
 	return time.Duration(float64(starts) / n * float64(time.Second))
 }
@@ -235,7 +235,7 @@
 
 // mayStart reports whether a start may be sent now.
 func (f *flowControl) mayStart() bool {
-	full := f.inFlight >= max(minInFlight, int(f.rate*inFlightFor.Seconds()/fullStartBytes))
+	full := f.inFlight >= max(minInFlight, int(f.rate*inFlightFor.Seconds()/typicalStartBytes))
 	if f.budget.tokens > 0 && !full {
 		return true
 	}
--- a/job/follow.go
+++ b/job/follow.go
@@ -52,8 +52,8 @@
 	kv     *platform.KV
 	prefix string
 	watchTimes
-	// gather is the pause after changes, so that the next watch returns several at once.
-	gather time.Duration
+	// batchDelay is the pause after changes, so that the next watch returns several at once.
+	batchDelay time.Duration
 	// newestOnly is for large values of which only the newest of each key counts: if a
 	// watch fails, or returns several values of a key, the keys are listed instead.
 	newestOnly bool
@@ -139,7 +139,7 @@
 			at = next
 			if len(l) > 0 {
 				f.onChange(l)
-				common.Sleep(ctx, f.gather)
+				common.Sleep(ctx, f.batchDelay)
 			}
 			if f.newestOnly && hasSuperseded(l) {
 				return true
--- a/job/follow_test.go
+++ b/job/follow_test.go
@@ -14,20 +14,20 @@
 	"amberway/platform"
 )
 
-// seen holds the values of one key that a follower has read.
-type seen struct {
+// seenValues holds the values of one key that a follower has read.
+type seenValues struct {
 	mu     sync.Mutex
 	values []string
 }
 
-func (s *seen) take(e platform.Entry) {
+func (s *seenValues) add(e platform.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.values = append(s.values, string(e.Value))
 }
 
 // count returns the number of values, and the last one.
-func (s *seen) count() (int, string) {
+func (s *seenValues) count() (int, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.values) == 0 {
@@ -44,16 +44,16 @@
 	const versions, answer = 40, 100 * time.Millisecond
 	s := newStoreFixture(t)
 	require.NoError(t, s.Put(platform.ConfigKey, 0))
-	var got seen
+	var got seenValues
 	f := &follower{kv: s.kv, prefix: platform.OperatorPrefix, watchTimes: configWatch(DefaultConfigWithin), newestOnly: true}
 	f.onList = func(l []platform.Entry) {
 		for _, e := range l {
-			got.take(e)
+			got.add(e)
 		}
 	}
 	f.onChange = func(l []platform.Event) {
 		for _, e := range l {
-			got.take(e.Entry)
+			got.add(e.Entry)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/job/incarnation.go
+++ b/job/incarnation.go
@@ -109,9 +109,9 @@
 	return ok
 }
 
-// noteInvalidStart logs that a worker's start time is invalid, if a reason is given. The worker
+// logInvalidStart logs that a worker's start time is invalid, if a reason is given. The worker
 // is then known by its name only, as if it had reported no start time.
-func (c *Core) noteInvalidStart(id platform.WorkerID, reason string) {
+func (c *Core) logInvalidStart(id platform.WorkerID, reason string) {
 	if reason != "" {
 		c.emit(LogLine{What: "worker start time invalid", Worker: id, Why: reason})
 	}
@@ -166,7 +166,7 @@
 func (c *Core) checkAnswerer(w *worker, o platform.Origin) bool {
 	if o.Invalid != "" && !w.invalidStartLogged {
 		w.invalidStartLogged = true
-		c.noteInvalidStart(w.ID, o.Invalid)
+		c.logInvalidStart(w.ID, o.Invalid)
 	}
 	by, ok := c.answeredBy(w, o)
 	switch {
@@ -183,7 +183,7 @@
 // still do so. The next poll of that one shows the run, or a stop settles it.
 func (r *run) reassign(to *worker, now time.Time) {
 	r.detach()
-	r.at = to
+	r.worker = to
 	r.stopPending, r.stopConfirmed, r.absent = false, false, false
 	r.knownAt = now
 	r.attach()
--- a/job/incarnation_test.go
+++ b/job/incarnation_test.go
@@ -44,7 +44,7 @@
 
 // listed has the first incarnation report its run.
 func (f *restartFixture) listed() {
-	f.took(f.run)
+	f.acceptStart(f.run)
 	f.pass(tickEvery)
 	f.answer(firstIncarnation, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 10)}})
 }
@@ -55,8 +55,8 @@
 	f.answer(asked, l)
 }
 
-// notes counts the log lines with the text.
-func (f *fixture) notes(what string) int {
+// countLogged counts the log lines with the text.
+func (f *fixture) countLogged(what string) int {
 	n := 0
 	for _, a := range f.out {
 		if v, ok := a.(LogLine); ok && v.What == what {
@@ -73,7 +73,7 @@
 	l := f.starts()
 	require.Len(t, l, 1, "the task starts elsewhere without waiting for a lease")
 	require.EqualValues(t, "w2", l[0].Worker.ID)
-	require.Equal(t, 1, f.notes("worker restarted"))
+	require.Equal(t, 1, f.countLogged("worker restarted"))
 }
 
 func TestRestartSeenInAnswerEndsEarlierRunsAtOnce(t *testing.T) {
@@ -83,7 +83,7 @@
 	l := f.starts()
 	require.Len(t, l, 1)
 	require.EqualValues(t, "w2", l[0].Worker.ID)
-	require.Contains(t, f.looks, platform.WorkerID(secondIncarnation), "it is polled on its own, and told the fence")
+	require.Contains(t, f.polls, platform.WorkerID(secondIncarnation), "it is polled on its own, and told the fence")
 }
 
 // An end of the later incarnation is new even if an end of the earlier one had the same number.
@@ -92,14 +92,14 @@
 	f.join(firstIncarnation)
 	f.submit(idA, "quick", oneTask(), platform.Step{Count: 1, After: []int{0}})
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.answer(firstIncarnation, platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	f.pass(200 * time.Millisecond)
 	next := f.starts()
 	require.Len(t, next, 1)
 	f.step(StartResult{Worker: firstIncarnation, Run: next[0].Order.Run, Task: next[0].Order.Task, Err: platform.ErrUnknown})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	require.Zero(t, f.looks[secondIncarnation].Order.LastSeen, "it has reported no end yet")
+	require.Zero(t, f.polls[secondIncarnation].Order.LastSeen, "it has reported no end yet")
 	f.pass(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, next[0], platform.EndDone)}})
 	f.pass(200 * time.Millisecond)
@@ -113,17 +113,17 @@
 	f.join(firstIncarnation)
 	f.submit(idA, "quick", oneTask(), platform.Step{Count: 1, After: []int{0}, Estimate: time.Minute})
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.answer(firstIncarnation, platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	f.pass(200 * time.Millisecond)
-	f.took(f.starts()[0])
+	f.acceptStart(f.starts()[0])
 	require.EqualValues(t, 1, f.core.workers[firstIncarnation].lastEndStored)
 	f.fail(firstIncarnation, platform.ErrUnknown)
 	f.pass(2 * pollRetry)
-	require.Zero(t, f.looks[firstIncarnation].Order.LastSeen)
+	require.Zero(t, f.polls[firstIncarnation].Order.LastSeen)
 }
 
-func TestUnansweredStartIsResolvedAtNextIncarnation(t *testing.T) {
+func TestUnansweredStartIsSettledAtNextIncarnation(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.step(StartResult{Worker: firstIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task, Err: platform.ErrUnknown})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
@@ -146,7 +146,7 @@
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	f.pass(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 5)}})
-	f.took(f.run)
+	f.acceptStart(f.run)
 	require.Empty(t, f.starts())
 	require.Empty(t, f.stops())
 	f.pass(pollWait)
@@ -163,7 +163,7 @@
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
 	f.step(WorkerListed{Worker: onHost(firstIncarnation)})
 	require.NotContains(t, f.core.workers, platform.WorkerID(firstIncarnation))
-	require.Equal(t, 1, f.notes("worker record ignored"))
+	require.Equal(t, 1, f.countLogged("worker record ignored"))
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	f.pass(200 * time.Millisecond)
 	require.NotEmpty(t, f.starts(), "it accepts starts once its own record is there")
@@ -181,12 +181,12 @@
 		f.answer(firstIncarnation, platform.PollReply{Origin: platform.Origin{Invalid: "start -1 is no time"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
 	}
 	require.Empty(t, f.starts())
-	require.Equal(t, 2, f.notes("worker start time invalid"), "once by its record, once by its answers")
+	require.Equal(t, 2, f.countLogged("worker start time invalid"), "once by its record, once by its answers")
 	require.Len(t, f.core.workers, 2)
 }
 
 // The machine list names workers, not their incarnations.
-func TestListOfMachinesSaysNothingOfIncarnations(t *testing.T) {
+func TestMachineListDoesNotIdentifyIncarnations(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.listed()
 	f.pass(time.Second)
@@ -205,24 +205,24 @@
 	last := "w1@1700000000600"
 	f.pass(settleAfter + 2*tickEvery)
 	f.answeredBy(last, 1700000000600, platform.PollReply{})
-	require.Zero(t, f.notes("crash counted"), "it may still be carried out")
+	require.Zero(t, f.countLogged("crash counted"), "it may still be carried out")
 	f.pass(settleAfter + 2*tickEvery)
 	f.step(StopResult{Worker: platform.WorkerID(last), Run: f.run.Order.Run, Task: f.run.Order.Task})
 	f.pass(tickEvery)
 	f.answeredBy(last, 1700000000600, platform.PollReply{})
-	require.Equal(t, 1, f.notes("crash counted"), "the start may have been carried out by one of them")
+	require.Equal(t, 1, f.countLogged("crash counted"), "the start may have been carried out by one of them")
 }
 
 // A start that the next incarnation carries out had not been carried out by the crashed one.
 func TestStartThatNextIncarnationRunsCountsNoCrash(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.took(f.run)
+	f.acceptStart(f.run)
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	f.pass(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 1)}})
 	f.pass(pollWait)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, f.run, platform.EndDone)}})
-	require.Zero(t, f.notes("crash counted"))
+	require.Zero(t, f.countLogged("crash counted"))
 }
 
 func TestRestartAfterDrainCountsNoCrash(t *testing.T) {
@@ -232,7 +232,7 @@
 	w.Draining = true
 	f.step(WorkerListed{Worker: w})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	require.Zero(t, f.notes("crash counted"))
+	require.Zero(t, f.countLogged("crash counted"))
 	require.Len(t, f.starts(), 1)
 }
 
@@ -262,7 +262,7 @@
 	r := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "spec", Steps: []platform.Step{oneTask()}}, f.now)
 	h.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{onHost(firstIncarnation), testWorker("w2")}, Roster: f.roster(),
-		Jobs: []JobAccepted{{ID: idA, Record: r, Created: 50}}, Progress: map[ID]Progress{},
+		Jobs: []Accepted{{ID: idA, Record: r, Created: 50}}, Progress: map[ID]Progress{},
 	})
 	h.answer("w2", platform.PollReply{})
 	h.step(WorkerListed{Worker: onHost(secondIncarnation)})
@@ -312,7 +312,7 @@
 	f.answeredBy(firstIncarnation, 1700000000400, platform.PollReply{})
 	third := "w1@1700000000700"
 	f.step(WorkerListed{Worker: onHost(third)})
-	require.Contains(t, f.looks, platform.WorkerID(third))
+	require.Contains(t, f.polls, platform.WorkerID(third))
 	f.step(WorkerUnlisted{Name: "w1"})
 	for id, w := range f.core.workers {
 		require.False(t, w.listed, id)
--- a/job/intake.go
+++ b/job/intake.go
@@ -34,11 +34,11 @@
 
 // intake writes submitted jobs to the store in batches.
 type intake struct {
-	kv    *platform.KV
-	log   *Logger
-	now   func() time.Time
-	queue chan *pendingJob
-	reach storeHealth
+	kv          *platform.KV
+	log         *Logger
+	now         func() time.Time
+	queue       chan *pendingJob
+	storeHealth storeHealth
 }
 
 func newIntake(kv *platform.KV, log *Logger, now func() time.Time) *intake {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return common.NotRun, err
 	}
-	if i.reach.rejects(i.now()) {
+	if i.storeHealth.rejects(i.now()) {
 		return common.NotRun, errStoreUnreachable
 	}
 	a := &pendingJob{id: id, value: b, deadline: deadline, outcome: make(chan common.Verdict, 1)}
@@ -106,7 +106,7 @@
 	for len(l) > 0 {
 		sent := i.now()
 		at, found, err := i.kv.Commit(ctx, intakeTxn(l))
-		i.recordReach(sent, err)
+		i.recordStoreHealth(sent, err)
 		switch {
 		case err == nil:
 			i.settle(l, common.Ran, "written", int64(at))
@@ -124,11 +124,11 @@
 	}
 }
 
-// recordReach records whether a write was answered, and logs when the store becomes
+// recordStoreHealth records whether a write was answered, and logs when the store becomes
 // unreachable or reachable again.
-func (i *intake) recordReach(sent time.Time, err error) {
+func (i *intake) recordStoreHealth(sent time.Time, err error) {
 	now := i.now()
-	gone, back := i.reach.record(sent, now, err == nil || errors.Is(err, platform.ErrConflict))
+	gone, back := i.storeHealth.record(sent, now, err == nil || errors.Is(err, platform.ErrConflict))
 	switch {
 	case gone:
 		i.log.Write(LogLine{What: "store unreachable", Why: err.Error(), Fields: []any{"since_ms", now.Sub(sent).Milliseconds()}})
--- a/job/keys_test.go
+++ b/job/keys_test.go
@@ -166,8 +166,8 @@
 	return isolatedHost{Node: n, store: s, owner: owner}
 }
 
-// judged returns the host's present decision about a key.
-func (n isolatedHost) judged(key string) access {
+// decision returns the host's present decision about a key.
+func (n isolatedHost) decision(key string) access {
 	r := n.routes.Load()
 	if r == nil {
 		return notCurrent
@@ -182,9 +182,9 @@
 func TestHostWithoutStoreGetsKeysFromTheOwner(t *testing.T) {
 	n := newIsolatedHost(t)
 	const within = 3 * time.Second
-	require.Eventually(t, func() bool { return n.judged(keyA) == granted && n.judged(keyB) == unknownKey }, within, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return n.decision(keyA) == granted && n.decision(keyB) == unknownKey }, within, 20*time.Millisecond)
 	putTeamKeys(t, n.store, 9, keyB)
-	require.Eventually(t, func() bool { return n.judged(keyA) == unknownKey && n.judged(keyB) == granted }, within, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return n.decision(keyA) == unknownKey && n.decision(keyB) == granted }, within, 20*time.Millisecond)
 	require.Less(t, time.Since(n.configCurrentAt.Get()), within, "the host knows that its configuration is current")
 }
 
@@ -192,7 +192,7 @@
 // store. A host without any confirmation provides none.
 func TestConfigurationOfAnotherHostKeepsItsAge(t *testing.T) {
 	n := newKeyedNode(t)
-	n.routes.Load().written = []byte("text")
+	n.routes.Load().raw = []byte("text")
 	n.configCurrentAt.Set(time.Now().Add(-4 * time.Second))
 	h := httptest.NewServer(n.Peers())
 	t.Cleanup(h.Close)
--- a/job/lasting.go
+++ b/job/lasting.go
@@ -27,7 +27,7 @@
 	if r != nil && (how == platform.EndFailed || how == platform.EndDone) {
 		t.notBefore = c.now.Add(c.restartDelay(r))
 	}
-	c.replan(t.of.of.job.queue.Service)
+	c.replan(t.step.instance.job.queue.Service)
 }
 
 func (c *Core) restartDelay(r *run) time.Duration {
@@ -45,7 +45,7 @@
 	}
 	empty := true
 	for _, r := range w.runs {
-		if !r.task.of.Lasting {
+		if !r.task.step.Lasting {
 			continue
 		}
 		empty = false
@@ -64,7 +64,7 @@
 // roomElsewhere reports whether the task could start on another worker at once.
 func (c *Core) roomElsewhere(w *worker, t *task) bool {
 	for _, o := range c.pools[w.Service] {
-		if o != w && o.acceptsStarts(c.now) && c.allowed(o, t.of) {
+		if o != w && o.acceptsStarts(c.now) && c.allowed(o, t.step) {
 			return true
 		}
 	}
--- a/job/lasting_log_test.go
+++ b/job/lasting_log_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// noted returns the log lines with the text since the fixture began.
-func (f *fixture) noted(what string) []LogLine {
+// logged returns the log lines with the text since the fixture began.
+func (f *fixture) logged(what string) []LogLine {
 	var l []LogLine
 	for _, a := range f.out {
 		if n, ok := a.(LogLine); ok && n.What == what {
@@ -21,8 +21,8 @@
 	return l
 }
 
-// input returns the value of a field of the log line.
-func (n LogLine) input(name string) any {
+// field returns the value of a field of the log line.
+func (n LogLine) field(name string) any {
 	for i := 0; i+1 < len(n.Fields); i += 2 {
 		if n.Fields[i] == name {
 			return n.Fields[i+1]
@@ -41,7 +41,7 @@
 	at := map[platform.WorkerID]StartRun{}
 	for _, r := range f.starts() {
 		at[r.Worker.ID] = r
-		f.took(r)
+		f.acceptStart(r)
 	}
 	f.passReady(at, evacuationDelay+warmUp)
 	return at
@@ -58,7 +58,7 @@
 // pollAll answers the polls in flight: the runs are ready.
 func (f *fixture) pollAll(at map[platform.WorkerID]StartRun) {
 	for id, r := range at {
-		if _, ok := f.looks[id]; ok {
+		if _, ok := f.polls[id]; ok {
 			f.answer(string(id), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
 	}
@@ -77,24 +77,24 @@
 	f.join("w4")
 	f.drain("w1")
 	f.pass(100 * time.Millisecond)
-	n := f.noted("stop")
+	n := f.logged("stop")
 	require.Len(t, n, 1)
-	require.Equal(t, 0, n[0].input("away"))
-	require.Equal(t, 1, n[0].input("may_miss"))
-	require.Equal(t, true, n[0].input("at_work"))
+	require.Equal(t, 0, n[0].field("away"))
+	require.Equal(t, 1, n[0].field("may_miss"))
+	require.Equal(t, true, n[0].field("at_work"))
 	f.drain("w2")
 	f.pass(100 * time.Millisecond)
 	f.pollAll(at)
 	f.pass(100 * time.Millisecond)
-	deferred := f.noted("stop deferred")
+	deferred := f.logged("stop deferred")
 	require.Len(t, deferred, 1, "logged once")
-	require.Equal(t, []int{at["w1"].index()}, deferred[0].input("away_tasks"))
+	require.Equal(t, []int{at["w1"].index()}, deferred[0].field("away_tasks"))
 	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknown})
-	require.Len(t, f.noted("stop not answered"), 1)
+	require.Len(t, f.logged("stop not answered"), 1)
 	f.passReady(at, time.Second)
-	resent := f.noted("stop sent again")
+	resent := f.logged("stop sent again")
 	require.NotEmpty(t, resent)
-	require.Equal(t, 1, resent[0].input("sent"))
+	require.Equal(t, 1, resent[0].field("sent"))
 }
 
 // index returns the index of the run's task in its step.
--- a/job/listing.go
+++ b/job/listing.go
@@ -24,7 +24,7 @@
 // apply adds a worker, or updates it from its record.
 func (e WorkerListed) apply(c *Core) {
 	v := e.Worker
-	c.noteInvalidStart(v.ID, v.InvalidStart)
+	c.logInvalidStart(v.ID, v.InvalidStart)
 	v.ID = c.resolveID(v.ID)
 	if c.wasReplaced(v) {
 		return
@@ -214,7 +214,7 @@
 	}
 	for _, r := range w.runs {
 		w.abandoned[rawRunID{task: r.task.key().String(), number: r.number}] = true
-		c.drop(r, lossExpired, "the worker is silent and its lease has expired")
+		c.dropRun(r, lossExpired, "the worker is silent and its lease has expired")
 	}
 	w.dropOrphans()
 	if !w.listed {
@@ -241,7 +241,7 @@
 			r.reassign(next, c.now)
 			continue
 		}
-		c.drop(r, how, "its worker has ended")
+		c.dropRun(r, how, "its worker has ended")
 	}
 	w.dropOrphans()
 	delete(c.workers, w.ID)
--- a/job/load.go
+++ b/job/load.go
@@ -72,7 +72,7 @@
 // addJob adds a job or a cancellation that was found in the store.
 func (e *Inherited) addJob(v Event) {
 	switch v := v.(type) {
-	case JobAccepted:
+	case Accepted:
 		e.Jobs = append(e.Jobs, v)
 	case CancelRequested:
 		e.Cancels = append(e.Cancels, v.ID)
@@ -206,7 +206,7 @@
 		o.log.Write(LogLine{What: "entry not understood", Job: id, Why: err.Error()})
 		return nil
 	}
-	return JobAccepted{ID: id, Record: r, Created: v.Revision}
+	return Accepted{ID: id, Record: r, Created: v.Revision}
 }
 
 func (o *owner) decodeWorker(v platform.Entry) (platform.Worker, bool) {
@@ -220,7 +220,7 @@
 // followJobs sends events for new and cancelled jobs to the core. It resigns when it finds
 // another owner's claim, which is under the same prefix.
 func (o *owner) followJobs(ctx context.Context, from platform.Revision) {
-	f := &follower{kv: o.KV, prefix: jobsPrefix, watchTimes: jobsWatch, gather: watchBatchDelay, log: o.log}
+	f := &follower{kv: o.KV, prefix: jobsPrefix, watchTimes: jobsWatch, batchDelay: watchBatchDelay, log: o.log}
 	f.onList = func(l []platform.Entry) {
 		err := o.checkOwnership(ctx)
 		for err != nil && !errors.Is(err, errDeposed) && ctx.Err() == nil {
@@ -271,7 +271,7 @@
 
 // followWorkers sends events for added, changed and removed workers to the core.
 func (o *owner) followWorkers(ctx context.Context, from platform.Revision) {
-	f := &follower{kv: o.KV, prefix: platform.WorkerPrefix, watchTimes: jobsWatch, gather: watchBatchDelay, log: o.log}
+	f := &follower{kv: o.KV, prefix: platform.WorkerPrefix, watchTimes: jobsWatch, batchDelay: watchBatchDelay, log: o.log}
 	f.onList = func(l []platform.Entry) {
 		all := WorkerList{}
 		for _, v := range l {
--- a/job/loss.go
+++ b/job/loss.go
@@ -24,7 +24,7 @@
 // lossCause returns how the runs of the worker, which has ended, were lost.
 func (w *worker) lossCause() loss {
 	switch {
-	case w.leaving:
+	case w.cordoned:
 		return lossOrder
 	case w.Draining, !w.listed && !w.unlistedAt.IsZero() && w.answeredAt.After(w.unlistedAt):
 		return lossLeft
@@ -35,7 +35,7 @@
 // knownAge returns how long the run is known to have been running, up to the last answer of its
 // worker. An adopted run had already survived its startup window.
 func (r *run) knownAge() time.Duration {
-	d := max(0, r.at.answeredAt.Sub(r.sentAt))
+	d := max(0, r.worker.answeredAt.Sub(r.sentAt))
 	if r.adopted {
 		d += startupWindow
 	}
--- a/job/loss_test.go
+++ b/job/loss_test.go
@@ -56,7 +56,7 @@
 			f.submit(idA, "quick", platform.Step{Count: 1, Resources: platform.Resources{MilliCores: 1000}, Estimate: time.Minute})
 			l := f.starts()
 			require.Len(t, l, 1)
-			f.took(l[0])
+			f.acceptStart(l[0])
 			f.pass(tickEvery)
 			end.do(f)
 			require.EqualValues(t, end.want, f.lossOf())
--- a/job/machine_orders.go
+++ b/job/machine_orders.go
@@ -76,31 +76,31 @@
 	m.order = nil
 	m.transferTo = ""
 	m.drainingSince = time.Time{}
-	c.release(m)
+	c.uncordon(m)
 }
 
-// release lets the machine's worker get starts again.
-func (c *Core) release(m *machine) {
+// uncordon lets the machine's worker get starts again.
+func (c *Core) uncordon(m *machine) {
 	w := c.workerOf(m)
 	if w == nil {
 		return
 	}
-	w.leaving = false
+	w.cordoned = false
 	if w.offRoster {
 		w.offRoster, w.inRoster = false, false
 		c.markRosterDirty(w)
 	}
 }
 
-// retire keeps starts from the worker of a machine that gets an order. If nothing runs there
+// cordon keeps starts from the worker of a machine that gets an order. If nothing runs there
 // and all its ends are stored, it also leaves the roster, so that the next owner does not
 // wait for its answer.
-func (c *Core) retire(m *machine) {
+func (c *Core) cordon(m *machine) {
 	w := c.workerOf(m)
 	if w == nil {
 		return
 	}
-	w.leaving = true
+	w.cordoned = true
 	w.offRoster = len(w.runs)+len(w.orphans) == 0 && !w.hasUnstoredEnds()
 	if w.offRoster {
 		c.markRosterDirty(w)
@@ -138,7 +138,7 @@
 // orderable reports whether the machine may get an order now.
 func (c *Core) orderable(m *machine) bool {
 	return m.order == nil && m.transferTo == "" && m.missedLists == 0 && m.State == platform.MachineUp &&
-		!c.now.Before(m.retryAt) && !c.now.Before(c.heldUntil[m.Name])
+		!c.now.Before(m.retryAt) && !c.now.Before(c.noOrdersUntil[m.Name])
 }
 
 // recentlyOrdered returns the machines that have an order or got one within handoverPause.
@@ -172,7 +172,7 @@
 	o.sentAt, o.decidedAt = c.now, c.now
 	m.order = o
 	c.orderBudget.spend()
-	c.retire(m)
+	c.cordon(m)
 	c.markOrderedDirty(m)
 }
 
--- a/job/machines.go
+++ b/job/machines.go
@@ -40,8 +40,8 @@
 	holder      string
 	// ordersFrom is when the owner knows enough to send orders. heldUntil holds back orders
 	// to machines that got one from the previous owner.
-	ordersFrom time.Time
-	heldUntil  map[string]time.Time
+	ordersFrom    time.Time
+	noOrdersUntil map[string]time.Time
 	// evacuateFrom is when the owner knows which lasting tasks are ready.
 	evacuateFrom   time.Time
 	machinesByName map[string]*machine
@@ -133,7 +133,7 @@
 		holder:         holder,
 		orderBudget:    newOrderBudget(ordersPerSecond, now),
 		ordersFrom:     now.Add(firstOrderDelay),
-		heldUntil:      map[string]time.Time{},
+		noOrdersUntil:  map[string]time.Time{},
 		evacuateFrom:   now.Add(evacuationDelay),
 		machinesByName: map[string]*machine{},
 		waves:          map[int64]*wave{},
@@ -197,7 +197,7 @@
 func (c *Core) checkIncarnation(m *machine, listSentAt time.Time) {
 	for _, w := range slices.Clone(c.workersByHost[m.Name]) {
 		other := m.Worker != w.ID.Name()
-		if other && w.heardOfSince(listSentAt) {
+		if other && w.heardFromSince(listSentAt) {
 			continue
 		}
 		w.stale = other
@@ -263,7 +263,7 @@
 	if m.drainingSince.IsZero() {
 		m.drainingSince = c.now
 	}
-	w.leaving = true
+	w.cordoned = true
 	if !c.evacuate(w) {
 		return false
 	}
--- a/job/machines_test.go
+++ b/job/machines_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func (f *fixture) upkeeps() []MaintainMachine {
+func (f *fixture) maintenanceOrders() []MaintainMachine {
 	var l []MaintainMachine
 	for _, a := range f.out {
 		if m, ok := a.(MaintainMachine); ok {
@@ -49,14 +49,14 @@
 	f.listMachines(up...)
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(time.Second)
-	l := f.upkeeps()
+	l := f.maintenanceOrders()
 	require.Len(t, l, 1)
 	f.step(MachineOrderResult{Machine: l[0].Machine})
 	f.pass(time.Second)
-	require.Len(t, f.upkeeps(), 1, "the first is still down")
+	require.Len(t, f.maintenanceOrders(), 1, "the first is still down")
 	f.listMachines(up...)
 	f.pass(200 * time.Millisecond)
-	l = f.upkeeps()
+	l = f.maintenanceOrders()
 	require.Len(t, l, 2)
 	f.step(MachineOrderResult{Machine: l[1].Machine})
 	f.pass(time.Second)
@@ -65,16 +65,16 @@
 	require.True(t, f.core.waves[4].reported)
 }
 
-func TestUpkeepWaitsForAWorkerThatHasNotAnswered(t *testing.T) {
+func TestMaintenanceWaitsForUncontactedWorker(t *testing.T) {
 	f := newFixture(t)
 	f.step(WorkerListed{Worker: testWorker("w1")})
 	f.listMachines(machineOf("w1", "blue"))
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(handoverPause + time.Second)
-	require.Empty(t, f.upkeeps())
+	require.Empty(t, f.maintenanceOrders())
 	f.answer("w1", platform.PollReply{})
 	f.pass(200 * time.Millisecond)
-	require.Len(t, f.upkeeps(), 1)
+	require.Len(t, f.maintenanceOrders(), 1)
 }
 
 func TestMachineOfUnlistedWorkerIsNotConsideredEmpty(t *testing.T) {
@@ -86,16 +86,16 @@
 	s.MaxUnavailable = 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
 	for range 40 {
 		f.pass(100 * time.Millisecond)
-		if _, ok := f.looks["w1"]; ok {
+		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 		}
 	}
-	require.Empty(t, f.upkeeps())
+	require.Empty(t, f.maintenanceOrders())
 }
 
 func TestListFromBeforeAnOrderDoesNotFinishIt(t *testing.T) {
@@ -120,7 +120,7 @@
 	l := f.starts()
 	require.Len(t, l, 2)
 	for _, r := range l {
-		f.took(r)
+		f.acceptStart(r)
 		f.answer(string(r.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 	}
 	w := f.core.workers[l[0].Worker.ID]
@@ -150,14 +150,14 @@
 	l := f.starts()
 	require.Len(t, l, 2)
 	for _, r := range l {
-		f.took(r)
+		f.acceptStart(r)
 	}
 	f.join("w2")
 	rows := func(percent int) platform.PollReply {
 		return platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], percent), runningRow(l[1], percent)}}
 	}
 	f.pass(500 * time.Millisecond)
-	if _, ok := f.looks["w1"]; ok {
+	if _, ok := f.polls["w1"]; ok {
 		f.answer("w1", rows(60))
 	}
 	f.core.evacuate(f.core.workers["w1"])
@@ -165,7 +165,7 @@
 	require.Empty(t, f.stops())
 	for range 8 {
 		f.pass(500 * time.Millisecond)
-		if _, ok := f.looks["w1"]; ok {
+		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", rows(60))
 		}
 	}
@@ -182,7 +182,7 @@
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
 	f.submit(idB, "quick", oneTask())
 	busy := f.starts()[0]
-	f.took(busy)
+	f.acceptStart(busy)
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{busy.Worker.Host}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(tickEvery)
 	s := oneTask()
@@ -200,16 +200,16 @@
 	s.Lasting, s.MaxUnavailable = true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()[0]
-	f.took(l)
+	f.acceptStart(l)
 	f.join("w2")
 	return l
 }
 
-// runAtWork lets time pass in which polls show the lasting run as ready.
-func (f *fixture) runAtWork(r StartRun, d time.Duration) {
+// passWhileReady lets time pass in which polls show the lasting run as ready.
+func (f *fixture) passWhileReady(r StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(100 * time.Millisecond)
-		if _, ok := f.looks[r.Worker.ID]; ok {
+		if _, ok := f.polls[r.Worker.ID]; ok {
 			f.answer(string(r.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
 	}
@@ -218,12 +218,12 @@
 func TestLastingTaskLeavesAWorkerThatDrains(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, evacuationDelay+time.Second)
+	f.passWhileReady(r, evacuationDelay+time.Second)
 	require.Empty(t, f.stops())
 	w := testWorker("w1")
 	w.Draining = true
 	f.step(WorkerListed{Worker: w})
-	f.runAtWork(r, 100*time.Millisecond)
+	f.passWhileReady(r, 100*time.Millisecond)
 	require.Len(t, f.stops(), 1)
 }
 
@@ -231,11 +231,11 @@
 func TestLastingTaskLeavesAWorkerWhoseRecordDoesNotComeBack(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, evacuationDelay+time.Second)
+	f.passWhileReady(r, evacuationDelay+time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
-	f.runAtWork(r, relistedWithin-200*time.Millisecond)
+	f.passWhileReady(r, relistedWithin-200*time.Millisecond)
 	require.Empty(t, f.stops(), "the store may have been unreachable, and the record may come back")
-	f.runAtWork(r, time.Second)
+	f.passWhileReady(r, time.Second)
 	require.Len(t, f.stops(), 1)
 }
 
@@ -244,15 +244,15 @@
 func TestLastingTaskStaysWhileRecordsComeBackAfterAnOutage(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, evacuationDelay+time.Second)
+	f.passWhileReady(r, evacuationDelay+time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	for range 40 {
 		f.passWithoutStore(100 * time.Millisecond)
-		if _, ok := f.looks[r.Worker.ID]; ok {
+		if _, ok := f.polls[r.Worker.ID]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
 	}
-	f.runAtWork(r, relistedWithin-200*time.Millisecond)
+	f.passWhileReady(r, relistedWithin-200*time.Millisecond)
 	require.Empty(t, f.stops())
 }
 
@@ -261,7 +261,7 @@
 func TestMachineListRevealsCrash(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, time.Second)
+	f.passWhileReady(r, time.Second)
 	f.fail("w1", common.ErrUnknown)
 	f.pass(listAfterSilence + tickEvery)
 	require.Contains(t, f.out, Action(ListMachines{}))
@@ -326,7 +326,7 @@
 	gone := RosterEntry{ID: "older", Service: "blue", Host: "host-of-w1"}
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w2")},
-		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 50}},
 		Roster: Roster{Workers: []RosterEntry{gone}},
 	})
 	f.answer("w2", platform.PollReply{})
@@ -348,12 +348,12 @@
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1", "host-of-w2"}, Within: 20 * time.Second, Cap: 2}})
 	f.pass(handoverPause - 200*time.Millisecond)
-	for _, m := range f.upkeeps() {
+	for _, m := range f.maintenanceOrders() {
 		require.Equal(t, "host-of-w2", m.Machine)
 	}
-	require.Len(t, f.upkeeps(), 1)
+	require.Len(t, f.maintenanceOrders(), 1)
 	f.pass(time.Second)
-	require.Len(t, f.upkeeps(), 2)
+	require.Len(t, f.maintenanceOrders(), 2)
 }
 
 func TestOrderIsSentOnlyOnceTheStoreNamesItsMachine(t *testing.T) {
@@ -365,11 +365,11 @@
 	f.holdWrites = true
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(300 * time.Millisecond)
-	require.Empty(t, f.upkeeps())
+	require.Empty(t, f.maintenanceOrders())
 	f.holdWrites = false
 	f.step(WriteResult{Number: f.core.writeNumber})
 	f.pass(200 * time.Millisecond)
-	require.Len(t, f.upkeeps(), 1)
+	require.Len(t, f.maintenanceOrders(), 1)
 	require.Equal(t, []string{"host-of-w1"}, f.roster().Ordered)
 }
 
@@ -416,9 +416,9 @@
 	record := func(receivedAt time.Time) Record {
 		return NewRecord(q, platform.Submission{Spec: "s", Steps: []platform.Step{{Count: 100, Resources: platform.Resources{MilliCores: 1000}, Estimate: time.Second}}}, receivedAt)
 	}
-	f.step(Inherited{Config: testConfig(), Jobs: []JobAccepted{{ID: idA, Record: record(earlier), Created: 10}}})
+	f.step(Inherited{Config: testConfig(), Jobs: []Accepted{{ID: idA, Record: record(earlier), Created: 10}}})
 	require.Less(t, f.core.balance.arrivals["blue"].long.value(f.now), 1.0, "cores")
-	f.step(JobAccepted{ID: idB, Record: record(now), Created: 300})
+	f.step(Accepted{ID: idB, Record: record(now), Created: 300})
 	require.Greater(t, f.core.balance.arrivals["blue"].long.value(f.now), 80.0, "cores")
 }
 
--- a/job/node.go
+++ b/job/node.go
@@ -183,7 +183,7 @@
 		return
 	}
 	r := newRoutes(d)
-	r.written = raw
+	r.raw = raw
 	if !n.swapRoutes(r) {
 		return
 	}
--- a/job/orders.go
+++ b/job/orders.go
@@ -25,23 +25,23 @@
 
 // start sends an order to start a run of the task on the worker.
 func (c *Core) start(t *task, w *worker, number int64, ticket string) {
-	r := &run{number: number, task: t, at: w, phase: starting, sentAt: c.now, progressAt: c.now, pacing: pacing{pace: fullPace}}
+	r := &run{number: number, task: t, worker: w, phase: starting, sentAt: c.now, progressAt: c.now, pacing: pacing{pace: fullPace}}
 	r.attach()
 	w.isolate(t, c.now)
 	if t.unavailableSince.IsZero() {
 		t.unavailableSince = c.now
 	}
-	n := t.of.of
+	n := t.step.instance
 	o := platform.StartOrder{
 		Task:     t.key().String(),
 		Run:      number,
 		Spec:     n.job.Spec,
-		Until:    w.lease(c.now),
+		Until:    w.extendLease(c.now),
 		Fence:    c.fence,
 		Snapshot: t.snapshot,
 		Ticket:   ticket,
 	}
-	c.emit(LogLine{What: "start", Job: n.job.id, Task: o.Task, Run: number, Worker: w.ID, Fields: []any{"waited_ms", c.now.Sub(n.due).Milliseconds(), "used", w.used.MilliCores, "failures", len(t.failed), "crashes", t.crashes.All}})
+	c.emit(LogLine{What: "start", Job: n.job.id, Task: o.Task, Run: number, Worker: w.ID, Fields: []any{"waited_ms", c.now.Sub(n.due).Milliseconds(), "used", w.used.MilliCores, "failures", len(t.failedRuns), "crashes", t.crashes.All}})
 	c.flow.startSent(len(o.Spec) + len(o.Snapshot) + len(o.Ticket))
 	c.emit(StartRun{Worker: w.Worker, Order: o})
 }
@@ -57,7 +57,7 @@
 	if r.phase == stopping {
 		return
 	}
-	c.noteRun(r, "stop", why, c.stopInputs(r))
+	c.logRun(r, "stop", why, c.stopInputs(r))
 	r.phase = stopping
 	r.stopPending = false
 	r.stopAt = c.now
@@ -77,22 +77,22 @@
 		return
 	}
 	if r.stopAttempts > 0 {
-		c.noteStopAgain(r)
+		c.logStopRetry(r)
 	}
 	r.stopPending = true
 	r.stopAttempts++
-	c.orderStop(r.at, r.task.key().String(), r.number)
+	c.orderStop(r.worker, r.task.key().String(), r.number)
 }
 
-// noteStopAgain logs that an order to stop is repeated, as no response came.
-func (c *Core) noteStopAgain(r *run) {
+// logStopRetry logs that an order to stop is repeated, as no response came.
+func (c *Core) logStopRetry(r *run) {
 	fields := []any{"sent", r.stopAttempts, "decided_ms", c.now.Sub(r.stopAt).Milliseconds()}
-	c.noteRun(r, "stop sent again", "", append(fields, c.stopInputs(r)...))
+	c.logRun(r, "stop sent again", "", append(fields, c.stopInputs(r)...))
 }
 
-// noteRun logs a decision on a run.
-func (c *Core) noteRun(r *run, what, why string, fields []any) {
-	c.emit(LogLine{What: what, Job: r.task.of.of.job.id, Task: r.task.key().String(), Run: r.number, Worker: r.at.ID, Why: why, Fields: fields})
+// logRun logs a decision on a run.
+func (c *Core) logRun(r *run, what, why string, fields []any) {
+	c.emit(LogLine{What: what, Job: r.task.step.instance.job.id, Task: r.task.key().String(), Run: r.number, Worker: r.worker.ID, Why: why, Fields: fields})
 }
 
 func (c *Core) orderStop(w *worker, task string, run int64) {
@@ -124,7 +124,7 @@
 // only after a poll did not list it, and if the budget allows it or the task is known not to be
 // ready.
 func (c *Core) maySettle(r *run) bool {
-	if !r.task.of.hasDisruptionBudget() {
+	if !r.task.step.hasDisruptionBudget() {
 		return true
 	}
 	return r.absent && c.mayStop(r)
@@ -141,7 +141,7 @@
 		w.noteClock(e.Clock, c.now)
 	}
 	k, _ := parseTaskKey(e.Task)
-	r := w.find(k, e.Run)
+	r := w.findRun(k, e.Run)
 	switch {
 	case errors.Is(e.Err, platform.ErrOtherIncarnation) && w.ID == e.Worker:
 		c.removeWorker(w, "another incarnation answers at its address")
@@ -179,18 +179,18 @@
 		r.phase = running
 	}
 	r.progressAt = c.now
-	c.markStarted(r.task.of.of.job)
+	c.markStarted(r.task.step.instance.job)
 }
 
 // startRefused drops a run that is certain not to have started.
 func (c *Core) startRefused(r *run, e StartResult) {
-	w := r.at
+	w := r.worker
 	t := r.task
 	why := string(e.Rejection)
 	if e.Err != nil {
 		why = e.Err.Error()
 	}
-	c.noteRun(r, "start refused", why, []any{"used", w.used.MilliCores, "room", w.Capacity.MilliCores})
+	c.logRun(r, "start refused", why, []any{"used", w.used.MilliCores, "room", w.Capacity.MilliCores})
 	switch {
 	case errors.Is(e.Err, platform.ErrNotSent):
 		w.missedPolls = max(w.missedPolls, 1)
@@ -203,8 +203,8 @@
 	t.avoid = w.ID
 	t.notBefore = c.now.Add(refusedPause)
 	r.detach()
-	if t.of.Gang {
-		c.stopGang(t.of, r.number)
+	if t.step.Gang {
+		c.stopGang(t.step, r.number)
 	}
 }
 
@@ -229,7 +229,7 @@
 		s.stopPending = false
 	}
 	k, _ := parseTaskKey(e.Task)
-	r := w.find(k, e.Run)
+	r := w.findRun(k, e.Run)
 	if r == nil {
 		return
 	}
@@ -239,7 +239,7 @@
 		r.stopConfirmed = true
 		w.nextPollAt = c.now
 	} else {
-		c.noteRun(r, "stop not answered", e.Err.Error(), nil)
+		c.logRun(r, "stop not answered", e.Err.Error(), nil)
 	}
 	c.reconcileWorker(w)
 }
--- a/job/orphan.go
+++ b/job/orphan.go
@@ -15,8 +15,8 @@
 	stopPending bool
 	// job is the run's job, or nil if it is not known; resources are what the run takes of the
 	// job's team's cap.
-	job       *job
-	resources platform.Resources
+	job   *job
+	usage platform.Resources
 }
 
 // addOrphan adds an orphaned run. It counts towards its team's cap.
@@ -38,8 +38,8 @@
 	if o.job == nil {
 		return
 	}
-	o.job.orphanUsage = o.job.orphanUsage.Plus(o.resources, n)
-	o.job.team.charge(o.resources, n)
+	o.job.orphanUsage = o.job.orphanUsage.Plus(o.usage, n)
+	o.job.team.charge(o.usage, n)
 }
 
 // dropOrphans removes all orphaned runs, which have ended.
--- a/job/outcomes.go
+++ b/job/outcomes.go
@@ -19,7 +19,7 @@
 // recordRunTime adds a successful run to the average of its queue. The run time includes
 // the transit of the start order and of the result, since the job waits for these as well.
 func (c *Core) recordRunTime(r *run) {
-	q := r.task.of.of.job.queue.Name
+	q := r.task.step.instance.job.queue.Name
 	e := c.runTimes[q]
 	if e == nil {
 		e = &runTimeEstimate{}
@@ -69,7 +69,7 @@
 		return
 	}
 	t.avoid = w.ID
-	j := t.of.of.job
+	j := t.step.instance.job
 	if j.failedOn == nil {
 		j.failedOn = map[platform.WorkerID]bool{}
 	}
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -51,11 +51,11 @@
 	require.NoError(t, s.Put(recordKey(id), r))
 }
 
-// accepted returns the jobs accepted by the events that wait.
-func (o *owner) accepted() []ID {
+// acceptedJobs returns the jobs accepted by the events that wait.
+func (o *owner) acceptedJobs() []ID {
 	var l []ID
 	for len(o.events) > 0 {
-		if e, ok := (<-o.events).(JobAccepted); ok {
+		if e, ok := (<-o.events).(Accepted); ok {
 			l = append(l, e.ID)
 		}
 	}
@@ -74,7 +74,7 @@
 	ctx, old.cancel = context.WithCancel(ctx)
 	old.followJobs(ctx, platform.Revision(old.tenure.fence))
 	require.Equal(t, errDeposed.Error(), old.resignReason)
-	require.Equal(t, []ID{idA}, old.accepted())
+	require.Equal(t, []ID{idA}, old.acceptedJobs())
 }
 
 // A watch that the store never answers delays jobs by a second, not by the timeout of other
@@ -91,7 +91,7 @@
 	s.putJob(t, idA)
 	select {
 	case e := <-o.events:
-		a, ok := e.(JobAccepted)
+		a, ok := e.(Accepted)
 		require.True(t, ok, "%T", e)
 		require.Equal(t, ID(idA), a.ID)
 	case <-time.After(1500 * time.Millisecond):
@@ -126,7 +126,7 @@
 	defer cancel()
 	ctx, old.cancel = context.WithCancel(ctx)
 	old.followJobs(ctx, platform.Revision(old.tenure.fence))
-	require.Empty(t, old.accepted())
+	require.Empty(t, old.acceptedJobs())
 }
 
 func TestWriteOfAReplacedOwnerIsRefused(t *testing.T) {
@@ -272,5 +272,5 @@
 	defer cancel()
 	ctx, o.cancel = context.WithCancel(ctx)
 	o.followJobs(ctx, from.jobs)
-	require.Empty(t, o.accepted(), "the watch starts after the changes that were caught up")
+	require.Empty(t, o.acceptedJobs(), "the watch starts after the changes that were caught up")
 }
--- a/job/pace.go
+++ b/job/pace.go
@@ -71,10 +71,10 @@
 // roles counts the worker's runs of best-effort and latency-sensitive tasks.
 func (w *worker) roles() (bestEffort, sensitive int) {
 	for _, r := range w.runs {
-		if r.task.of.BestEffort {
+		if r.task.step.BestEffort {
 			bestEffort++
 		}
-		if r.task.of.latencySensitive() {
+		if r.task.step.latencySensitive() {
 			sensitive++
 		}
 	}
@@ -101,21 +101,21 @@
 // latency-sensitive tasks: down at once, up again slowly. Without any latency-sensitive tasks it
 // rises to full pace as well.
 func (c *Core) adjustPace(w *worker) {
-	if c.now.Before(w.paceAt) {
+	if c.now.Before(w.nextPaceAt) {
 		return
 	}
 	worst := w.worstTail()
 	for _, r := range w.runs {
-		if !r.task.of.BestEffort || r.phase != running {
+		if !r.task.step.BestEffort || r.phase != running {
 			continue
 		}
 		p := nextPace(r.pace, worst)
 		if p == r.pace && !r.paceDue(c.now) {
 			continue
 		}
-		c.noteRun(r, "pace", "", []any{"from", r.pace, "to", p, "tail_share", worst})
+		c.logRun(r, "pace", "", []any{"from", r.pace, "to", p, "tail_share", worst})
 		r.setPace(p, c.now)
-		w.paceAt = c.now.Add(paceSettle)
+		w.nextPaceAt = c.now.Add(paceSettle)
 		c.emit(PaceRun{Worker: w.Worker, Task: r.task.key().String(), Run: r.number, Percent: p, Fence: c.fence})
 	}
 }
@@ -124,8 +124,8 @@
 func (w *worker) worstTail() float64 {
 	worst := 0.0
 	for _, r := range w.runs {
-		if r.task.of.latencySensitive() && r.phase == running {
-			worst = max(worst, r.level/float64(r.task.of.TailTarget.Milliseconds()))
+		if r.task.step.latencySensitive() && r.phase == running {
+			worst = max(worst, r.level/float64(r.task.step.TailTarget.Milliseconds()))
 		}
 	}
 	return worst
@@ -165,8 +165,8 @@
 		return
 	}
 	k, _ := parseTaskKey(e.Task)
-	if r := w.find(k, e.Run); r != nil {
+	if r := w.findRun(k, e.Run); r != nil {
 		r.paceUnanswered(c.now)
-		w.paceAt = c.now
+		w.nextPaceAt = c.now
 	}
 }
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -13,19 +13,19 @@
 // tailTarget is the target of the latency-sensitive task.
 const tailTarget = 100 * time.Millisecond
 
-// shared is an owner with a worker on which a best-effort task runs beside a latency-sensitive
+// sharedFixture is an owner with a worker on which a best-effort task runs beside a latency-sensitive
 // one.
-type shared struct {
+type sharedFixture struct {
 	*fixture
-	fills, serves StartRun
+	bestEffort, sensitive StartRun
 	// gone says that the latency-sensitive task no longer runs there.
 	gone bool
 	// answers counts the polls. The best-effort task makes a little progress in each.
 	answers int
 }
 
-// newShared returns an owner with such a worker, both tasks of which have started.
-func newShared(t *testing.T) *shared {
+// newSharedFixture returns an owner with such a worker, both tasks of which have started.
+func newSharedFixture(t *testing.T) *sharedFixture {
 	f := newFixture(t)
 	f.join("w1")
 	bestEffort, sensitive := oneTask(), oneTask()
@@ -35,27 +35,27 @@
 	f.submit(idB, "quick", sensitive)
 	l := f.starts()
 	require.Len(t, l, 2)
-	s := &shared{fixture: f, fills: l[0], serves: l[1]}
+	s := &sharedFixture{fixture: f, bestEffort: l[0], sensitive: l[1]}
 	if l[0].Order.Task != idA+".0.0.0" {
-		s.fills, s.serves = l[1], l[0]
+		s.bestEffort, s.sensitive = l[1], l[0]
 	}
 	for _, o := range l {
-		f.took(o)
+		f.acceptStart(o)
 	}
 	return s
 }
 
-// look lets time pass. Polls are answered with a tail of the given fraction of the target.
-func (s *shared) look(d time.Duration, tail float64) {
+// passPolled lets time pass. Polls are answered with a tail of the given fraction of the target.
+func (s *sharedFixture) passPolled(d time.Duration, tail float64) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.pass(tickEvery)
-		if _, polled := s.looks["w1"]; !polled {
+		if _, polled := s.polls["w1"]; !polled {
 			continue
 		}
 		s.answers++
-		running := []platform.RunningRow{{Task: s.fills.Order.Task, Run: s.fills.Order.Run, Percent: 1 + s.answers%90}}
+		running := []platform.RunningRow{{Task: s.bestEffort.Order.Task, Run: s.bestEffort.Order.Run, Percent: 1 + s.answers%90}}
 		if !s.gone {
-			running = append(running, platform.RunningRow{Task: s.serves.Order.Task, Run: s.serves.Order.Run, Percent: 100, Level: tail * float64(tailTarget.Milliseconds())})
+			running = append(running, platform.RunningRow{Task: s.sensitive.Order.Task, Run: s.sensitive.Order.Run, Percent: 100, Level: tail * float64(tailTarget.Milliseconds())})
 		}
 		s.answer("w1", platform.PollReply{Running: running})
 	}
@@ -76,70 +76,70 @@
 	return l
 }
 
-// unanswered has the last order to pace the best-effort task fail without an answer.
-func (s *shared) unanswered() {
-	s.step(PaceResult{Worker: "w1", Task: s.fills.Order.Task, Run: s.fills.Order.Run, Err: common.ErrUnknown})
+// losePaceReply has the last order to pace the best-effort task fail without an answer.
+func (s *sharedFixture) losePaceReply() {
+	s.step(PaceResult{Worker: "w1", Task: s.bestEffort.Order.Task, Run: s.bestEffort.Order.Run, Err: common.ErrUnknown})
 }
 
 // The order that restored the full pace was lost, and only lower paces were ordered again, so
 // that a best-effort task went on at three quarters of its pace, or paused, until it ended.
 func TestFullPaceIsOrderedAgainWhereItsAnswerWasLost(t *testing.T) {
-	s := newShared(t)
-	s.look(time.Second, 2)
+	s := newSharedFixture(t)
+	s.passPolled(time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
-	s.look(3*time.Second, 0.1)
+	s.passPolled(3*time.Second, 0.1)
 	require.Equal(t, []int{25, 50, 75, 100}, s.paces())
-	s.unanswered()
-	s.look(2*time.Second, 0.1)
+	s.losePaceReply()
+	s.passPolled(2*time.Second, 0.1)
 	require.Equal(t, []int{100}, s.paces())
 }
 
 // An order that was not answered may be carried out seconds later, after newer ones.
 func TestPaceIsOrderedAgainOnceNoEarlierOrderCanArrive(t *testing.T) {
-	s := newShared(t)
-	s.look(time.Second, 2)
+	s := newSharedFixture(t)
+	s.passPolled(time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
-	s.unanswered()
-	s.look(2*time.Second, 2)
+	s.losePaceReply()
+	s.passPolled(2*time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
-	s.look(4*time.Second, 0.1)
+	s.passPolled(4*time.Second, 0.1)
 	require.Equal(t, []int{25, 50, 75, 100}, s.paces())
-	s.look(maxOrderDelay, 0.1)
+	s.passPolled(maxOrderDelay, 0.1)
 	require.Equal(t, []int{100}, s.paces())
-	s.look(maxOrderDelay, 0.1)
+	s.passPolled(maxOrderDelay, 0.1)
 	require.Empty(t, s.paces())
 }
 
 // Paces were set only while both kinds of tasks shared a worker. When the latency-sensitive
 // task ended or was moved, the best-effort task kept its reduced pace until it ended.
-func TestFillingTaskGetsItsFullPaceBackWhereNothingServes(t *testing.T) {
-	s := newShared(t)
-	s.look(time.Second, 2)
+func TestBestEffortTaskReturnsToFullPaceAlone(t *testing.T) {
+	s := newSharedFixture(t)
+	s.passPolled(time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
 	s.step(CancelRequested{ID: idB})
-	s.step(StopResult{Worker: "w1", Task: s.serves.Order.Task, Run: s.serves.Order.Run, Clock: s.clock})
+	s.step(StopResult{Worker: "w1", Task: s.sensitive.Order.Task, Run: s.sensitive.Order.Run, Clock: s.clock})
 	s.gone = true
-	s.look(4*time.Second, 0)
+	s.passPolled(4*time.Second, 0)
 	require.Equal(t, []int{25, 50, 75, 100}, s.paces())
-	s.look(4*time.Second, 0)
+	s.passPolled(4*time.Second, 0)
 	require.Empty(t, s.paces())
 }
 
 // The next owner assumed full pace for each adopted run, and never restored it for a run that
 // the previous owner had slowed down.
-func TestNextOwnerOrdersThePaceOfAFillingTaskAnew(t *testing.T) {
-	s := newShared(t)
-	s.look(time.Second, 2)
+func TestNextOwnerRestoresPaceOfAdoptedRun(t *testing.T) {
+	s := newSharedFixture(t)
+	s.passPolled(time.Second, 2)
 	require.Equal(t, []int{0}, s.paces())
 
-	next := &shared{fixture: newOwnerFixture(t, 2000), fills: s.fills, serves: s.serves}
-	var jobs []JobAccepted
+	next := &sharedFixture{fixture: newOwnerFixture(t, 2000), bestEffort: s.bestEffort, sensitive: s.sensitive}
+	var jobs []Accepted
 	for _, id := range []ID{idA, idB} {
-		jobs = append(jobs, JobAccepted{ID: id, Record: s.core.jobs[id].Record, Created: 50})
+		jobs = append(jobs, Accepted{ID: id, Record: s.core.jobs[id].Record, Created: 50})
 	}
 	next.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: jobs, Roster: s.roster()})
-	next.look(2*time.Second, 0.1)
+	next.passPolled(2*time.Second, 0.1)
 	require.Equal(t, []int{100}, next.paces())
-	next.look(2*time.Second, 0.1)
+	next.passPolled(2*time.Second, 0.1)
 	require.Empty(t, next.paces())
 }
--- a/job/place.go
+++ b/job/place.go
@@ -128,17 +128,17 @@
 // withinCap reports whether n more tasks of the step stay within the cap of its team. If
 // not, it registers the service to be placed again once the team's usage falls.
 func (s *step) withinCap(n int64) bool {
-	t := s.of.job.team
+	t := s.instance.job.team
 	if t.mayUse(s.Resources, n) {
 		return true
 	}
-	t.addWaiting(s.of.job.queue.Service)
+	t.addWaiting(s.instance.job.queue.Service)
 	return false
 }
 
 // unconstrained reports whether the step's tasks may run on any worker that has room.
 func (s *step) unconstrained() bool {
-	return s.perWorker == nil && s.Requires == "" && !s.BestEffort && s.advice == nil && s.of.job.queue.Advice == nil
+	return s.perWorker == nil && s.Requires == "" && !s.BestEffort && s.advice == nil && s.instance.job.queue.Advice == nil
 }
 
 // choose returns the allowed worker with the highest score, or nil if there is none.
@@ -146,7 +146,7 @@
 	var best *worker
 	var bestScore int64
 	for _, w := range free {
-		if !c.allowed(w, t.of) {
+		if !c.allowed(w, t.step) {
 			continue
 		}
 		v := c.score(w, t)
@@ -182,14 +182,14 @@
 	if t.avoid == w.ID {
 		v -= avoidPenalty
 	}
-	if t.of.NearRack != "" && t.of.NearRack != w.rack {
+	if t.step.NearRack != "" && t.step.NearRack != w.rack {
 		v -= otherRackPenalty
 	}
-	if w.maintenanceDue && t.of.Lasting {
+	if w.maintenanceDue && t.step.Lasting {
 		v -= maintenancePenalty
 	}
 	v -= int64(w.failures) * failureWeight
-	v += c.scoreShared(w, t.of)
+	v += c.scoreShared(w, t.step)
 	return v
 }
 
@@ -222,7 +222,7 @@
 // ticket returns the ticket that permits the step to run on the worker. Queues without
 // advice need none.
 func (c *Core) ticket(s *step, w *worker) (string, bool) {
-	if s.of.job.queue.Advice == nil {
+	if s.instance.job.queue.Advice == nil {
 		return "", true
 	}
 	return c.adviceTicket(s, w)
--- a/job/poll.go
+++ b/job/poll.go
@@ -55,7 +55,7 @@
 	o := platform.PollOrder{Fence: c.fence, LastSeen: w.ackableEnd()}
 	if w.contacted && w.missedPolls == 0 {
 		// A silent worker's lease is not renewed, so that it expires.
-		o.Until = w.lease(c.now)
+		o.Until = w.extendLease(c.now)
 	}
 	if w.contacted && w.missedPolls == 0 && w.lastEndSeen == w.lastEndStored && len(w.runs)+len(w.orphans) > 0 && !w.needsPromptPoll(c.now) {
 		o.Wait = c.pollWaitFor(w)
@@ -105,7 +105,7 @@
 		w.nextPollAt = c.now.Add(pollRetry)
 		if w.missedPolls == 1 {
 			c.emit(LogLine{What: "worker silent", Worker: w.ID, Why: e.Err.Error()})
-			c.noteSilence(w)
+			c.relistAfterSilence(w)
 		}
 		c.reconcileWorker(w)
 		return
@@ -150,10 +150,10 @@
 	}
 }
 
-// noteSilence has the machine list read soon after a worker has fallen silent, as the list shows
+// relistAfterSilence has the machine list read soon after a worker has fallen silent, as the list shows
 // whether it crashed. If its machine has an order, silence is expected, and the list is not read
 // more often than the link allows.
-func (c *Core) noteSilence(w *worker) {
+func (c *Core) relistAfterSilence(w *worker) {
 	if m := c.machinesByName[w.Host]; m != nil && m.order != nil && m.order.recorded {
 		c.listAt = earliest(c.listAt, c.now.Add(max(listAfterSilence, c.listGap())))
 		return
@@ -172,7 +172,7 @@
 		if !ok {
 			continue
 		}
-		r := w.find(k, v.Run)
+		r := w.findRun(k, v.Run)
 		if r == nil {
 			r = c.adopt(w, k, v)
 		}
@@ -198,7 +198,7 @@
 	r.startConfirmed, r.listed, r.absent, r.crashSuspect = true, true, false, false
 	if r.phase == unconfirmed || r.phase == starting {
 		if r.phase == unconfirmed {
-			c.noteRun(r, "start settled", "its worker lists the run", nil)
+			c.logRun(r, "start settled", "its worker lists the run", nil)
 		}
 		r.phase = running
 		r.knownAt = c.now
@@ -213,23 +213,23 @@
 	c.clearCrashes(r)
 	c.withdrawStop(r)
 	t := r.task
-	if v.Snapshot != "" && t.of.Checkpoints {
+	if v.Snapshot != "" && t.step.Checkpoints {
 		t.snapshot = v.Snapshot
 	}
-	if t.of.Lasting {
+	if t.step.Lasting {
 		t.ready = v.Percent >= 100 && r.phase == running
 		if t.ready {
 			t.unavailableSince = time.Time{}
 		}
 	}
-	c.markStarted(t.of.of.job)
+	c.markStarted(t.step.instance.job)
 }
 
 // adopt takes over a run that an earlier owner started. A run that is no longer wanted becomes
 // an orphan, and adopt returns nil.
 func (c *Core) adopt(w *worker, k taskKey, v platform.RunningRow) *run {
 	t := c.task(k)
-	wanted := t != nil && !t.done && (len(t.runs) == 0 || t.of.Copies)
+	wanted := t != nil && !t.done && (len(t.runs) == 0 || t.step.Copies)
 	if !wanted {
 		id := rawRunID{task: v.Task, number: v.Run}
 		if w.orphans[id] == nil {
@@ -238,7 +238,7 @@
 		}
 		return nil
 	}
-	r := &run{number: v.Run, task: t, at: w, phase: running, sentAt: c.now, knownAt: c.now, progressAt: c.now, pacing: pacing{pace: fullPace, paceRetryAt: c.now}, percent: v.Percent, adoptedPercent: v.Percent, startConfirmed: true, adopted: true}
+	r := &run{number: v.Run, task: t, worker: w, phase: running, sentAt: c.now, knownAt: c.now, progressAt: c.now, pacing: pacing{pace: fullPace, paceRetryAt: c.now}, percent: v.Percent, adoptedPercent: v.Percent, startConfirmed: true, adopted: true}
 	r.attach()
 	c.emit(LogLine{What: "run adopted", Job: k.id, Task: v.Task, Run: v.Run, Worker: w.ID})
 	return r
@@ -250,7 +250,7 @@
 	if j == nil || k.step >= len(j.Steps) {
 		return &orphan{}
 	}
-	return &orphan{job: j, resources: j.Steps[k.step].Resources}
+	return &orphan{job: j, usage: j.Steps[k.step].Resources}
 }
 
 // runMissing handles a known run that the worker does not report.
@@ -258,11 +258,11 @@
 	switch r.phase {
 	case running:
 		if r.knownAt.Before(sentAt) {
-			c.drop(r, lossUnlisted, "the worker does not list it")
+			c.dropRun(r, lossUnlisted, "the worker does not list it")
 		}
 	case stopping:
 		if r.stopConfirmed && r.knownAt.Before(sentAt) {
-			c.drop(r, lossUnlisted, "stopped before it started")
+			c.dropRun(r, lossUnlisted, "stopped before it started")
 		}
 		r.absent = true
 	case unconfirmed:
@@ -272,18 +272,18 @@
 	}
 }
 
-// drop removes a run that was lost.
-func (c *Core) drop(r *run, how loss, why string) {
+// dropRun removes a run that was lost.
+func (c *Core) dropRun(r *run, how loss, why string) {
 	t := r.task
-	c.noteRun(r, "run gone", why, []any{"how", string(how), "lived_ms", r.knownAge().Milliseconds()})
+	c.logRun(r, "run gone", why, []any{"how", string(how), "lived_ms", r.knownAge().Milliseconds()})
 	r.detach()
-	r.at.idleSince = c.now
-	if t.of.Lasting {
+	r.worker.idleSince = c.now
+	if t.step.Lasting {
 		c.lastingEnded(t, r, platform.EndExpired)
 	}
-	if t.of.Gang {
-		c.stopGang(t.of, r.number)
+	if t.step.Gang {
+		c.stopGang(t.step, r.number)
 	}
 	c.confirmCrash(r)
-	c.replan(r.at.Service)
+	c.replan(r.worker.Service)
 }
--- a/job/pools.go
+++ b/job/pools.go
@@ -115,7 +115,7 @@
 			if d.have >= d.want || from.have <= from.want || !c.mayOrder() {
 				break
 			}
-			if !c.idle(m) {
+			if !c.machineIdle(m) {
 				continue
 			}
 			c.orderMove(m, d.service, d)
@@ -125,10 +125,10 @@
 	}
 }
 
-// idle reports whether the machine's worker is known to run nothing.
-func (c *Core) idle(m *machine) bool {
+// machineIdle reports whether the machine's worker is known to run nothing.
+func (c *Core) machineIdle(m *machine) bool {
 	w := c.workerOf(m)
-	return w != nil && !w.leaving && !w.Draining && c.runsKnown(m) && len(w.runs) == 0
+	return w != nil && !w.cordoned && !w.Draining && c.runsKnown(m) && len(w.runs) == 0
 }
 
 // movable returns the machines of a pool that may be ordered to move now.
@@ -158,7 +158,7 @@
 			}
 			m.transferTo = d.service
 			m.drainingSince = c.now
-			c.listedByHost[m.Name].leaving = true
+			c.listedByHost[m.Name].cordoned = true
 			from.have--
 			d.have++
 		}
@@ -172,7 +172,7 @@
 	var l []*machine
 	for _, m := range c.movable(pool) {
 		w := c.listedByHost[m.Name]
-		if w != nil && c.runsKnown(m) && !w.Draining && !w.leaving && !w.hasLasting() {
+		if w != nil && c.runsKnown(m) && !w.Draining && !w.cordoned && !w.hasLasting() {
 			l = append(l, m)
 		}
 	}
@@ -185,7 +185,7 @@
 // hasLasting reports whether the worker runs lasting tasks.
 func (w *worker) hasLasting() bool {
 	for _, r := range w.runs {
-		if r.task.of.Lasting {
+		if r.task.step.Lasting {
 			return true
 		}
 	}
@@ -209,7 +209,7 @@
 		case !d.hasUnplaced || c.now.Sub(m.drainingSince) > transferTimeout:
 			m.transferTo = ""
 			m.drainingSince = time.Time{}
-			w.leaving = false
+			w.cordoned = false
 			d.have--
 		}
 	}
@@ -238,7 +238,7 @@
 		if d.have <= d.want || !c.mayRelease() {
 			return
 		}
-		if !c.idle(m) || c.now.Sub(c.workerOf(m).idleSince) < d.idleTimeout() {
+		if !c.machineIdle(m) || c.now.Sub(c.workerOf(m).idleSince) < d.idleTimeout() {
 			continue
 		}
 		c.orderMove(m, spare, d)
--- a/job/progress.go
+++ b/job/progress.go
@@ -19,8 +19,8 @@
 	FinalAt time.Time `json:"t,omitzero"`
 	// Instances holds those instances of the job of which a task has ended, by number.
 	// All tasks of instances below Past are done.
-	Instances map[int]InstanceProgress `json:"i,omitempty"`
-	Past      int                      `json:"p,omitempty"`
+	Instances      map[int]InstanceProgress `json:"i,omitempty"`
+	OldestInstance int                      `json:"p,omitempty"`
 	// Leftover describes runs of a final job that have yet to end. It is nil if there are
 	// none or the job's team has no cap.
 	Leftover *LeftoverRuns `json:"r,omitempty"`
@@ -133,7 +133,7 @@
 	default:
 		return fmt.Errorf("unknown state %.20q", p.State)
 	}
-	if p.Past < 0 {
+	if p.OldestInstance < 0 {
 		return errors.New("negative instance number")
 	}
 	for _, n := range p.Instances {
@@ -153,7 +153,7 @@
 		p.Leftover = c.leftoverRuns(j)
 		return p
 	}
-	p.Past = j.oldestInstance
+	p.OldestInstance = j.oldestInstance
 	p.Instances = make(map[int]InstanceProgress, len(j.instances))
 	for k, n := range j.instances {
 		if !n.noTaskEnded() {
@@ -174,8 +174,8 @@
 			switch {
 			case t.done:
 				p.Done[i].SetBit(p.Done[i], x, 1)
-			case len(t.failed) > 0 || t.crashes.All > 0:
-				p.Failures = append(p.Failures, TaskFailures{Step: i, Index: x, Runs: t.failed, Crashes: t.crashes})
+			case len(t.failedRuns) > 0 || t.crashes.All > 0:
+				p.Failures = append(p.Failures, TaskFailures{Step: i, Index: x, Runs: t.failedRuns, Crashes: t.crashes})
 			}
 		}
 	}
@@ -195,9 +195,9 @@
 	for _, f := range p.Failures {
 		if f.Step < len(n.steps) && f.Index < len(n.steps[f.Step].tasks) {
 			t := n.steps[f.Step].tasks[f.Index]
-			t.failed = f.Runs
+			t.failedRuns = f.Runs
 			t.crashes = f.Crashes
-			if t.of.Lasting && t.crashes.All > 0 {
+			if t.step.Lasting && t.crashes.All > 0 {
 				t.notBefore = now.Add(t.crashes.backoff())
 			}
 		}
--- a/job/query.go
+++ b/job/query.go
@@ -47,7 +47,7 @@
 	silent, reached := 0, 0
 	for _, w := range c.workers {
 		switch {
-		case !w.listed || w.stale || w.leaving:
+		case !w.listed || w.stale || w.cordoned:
 		case w.missedPolls > 0:
 			silent++
 		case c.now.Sub(w.answeredAt) < recentAnswerWithin:
--- a/job/removed.go
+++ b/job/removed.go
@@ -54,7 +54,7 @@
 	switch {
 	case listed || w.Host == "":
 		w.missedLists = 0
-	case w.heardOfSince(listSentAt):
+	case w.heardFromSince(listSentAt):
 		// Its answer is newer than the list.
 	default:
 		w.missedLists++
--- a/job/removed_list_test.go
+++ b/job/removed_list_test.go
@@ -15,12 +15,12 @@
 func (f *takeoverFixture) passRefusing(d time.Duration, l ...platform.Machine) time.Duration {
 	began := f.now
 	for end := f.now.Add(d); f.now.Before(end); {
-		if _, ok := f.looks["w2"]; ok && f.core.workers["w2"] != nil {
+		if _, ok := f.polls["w2"]; ok && f.core.workers["w2"] != nil {
 			f.fail("w2", common.ErrNotSent)
 		}
 		f.pass(tickEvery)
-		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
+		if _, ok := f.polls["w1"]; ok {
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.poolRun, 100)}})
 		}
 		if f.core.listing {
 			f.listMachines(l...)
@@ -38,7 +38,7 @@
 	f := newTakeoverFixture(t)
 	took := f.passRefusing(inheritedLease, machineOf("w1", "blue"))
 	require.NotZero(t, took)
-	require.Less(t, took, lastingTaskAgainWithin)
+	require.Less(t, took, lastingRestartWithin)
 }
 
 // If a poll fails while a slow machine list is being read, the next list follows soon.
@@ -47,11 +47,11 @@
 	f := newTakeoverFixture(t)
 	var sent time.Time
 	for began := f.now; len(f.starts()) == 0; {
-		require.Less(t, f.now.Sub(began), lastingTaskAgainWithin)
+		require.Less(t, f.now.Sub(began), lastingRestartWithin)
 		f.pass(tickEvery)
 		f.timeOutPoll("w2")
-		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
+		if _, ok := f.polls["w1"]; ok {
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.poolRun, 100)}})
 		}
 		if f.core.listing && sent.IsZero() {
 			sent = f.now
@@ -67,10 +67,10 @@
 func TestListsFromBeforeAnAnswerDoNotCount(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, time.Second)
+	f.passWhileReady(r, time.Second)
 	f.listMachines(machineOf("w2", "blue"))
 	f.listMachines(machineOf("w2", "blue"))
-	f.runAtWork(r, 3*time.Second)
+	f.passWhileReady(r, 3*time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.fail("w1", common.ErrUnknown)
 	f.pass(tickEvery)
@@ -81,7 +81,7 @@
 func TestRecordLostInStoreOutageIsNotRemoval(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, time.Second)
+	f.passWhileReady(r, time.Second)
 	f.passWithoutStore(time.Second)
 	f.step(WorkerList{testWorker("w2")})
 	f.out = nil
@@ -94,7 +94,7 @@
 }
 
 // A machine list requested before a worker answered does not end that worker.
-func TestListFromBeforeALifeDoesNotEndIt(t *testing.T) {
+func TestMachineListFromBeforeAnAnswerDoesNotEndTheWorker(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
 	f.listMachines(machineOf("w1", "blue"))
@@ -110,7 +110,7 @@
 	f.pass(tickEvery)
 	l := f.starts()
 	require.Len(t, l, 1)
-	f.took(l[0])
+	f.acceptStart(l[0])
 	f.answer("w2", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 	f.join("w3")
 	f.pass(200 * time.Millisecond)
@@ -136,7 +136,7 @@
 
 // A worker accepts starts again once the order to its machine is over, even if the machine was
 // missing from the list meanwhile.
-func TestWorkerOfAMachineThatIsListedAgainTakesStarts(t *testing.T) {
+func TestWorkerOfAMachineThatIsListedAgainAcceptsStarts(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
@@ -155,7 +155,7 @@
 	f.step(MachineOrderResult{Machine: l[0].Machine, Verdict: platform.OrderBusy})
 	f.listMachines(up...)
 	for _, w := range f.core.workers {
-		require.False(t, w.leaving && f.core.machinesByName[w.Host].order == nil, "%s", w.ID)
+		require.False(t, w.cordoned && f.core.machinesByName[w.Host].order == nil, "%s", w.ID)
 	}
 }
 
--- a/job/removed_test.go
+++ b/job/removed_test.go
@@ -16,7 +16,7 @@
 // job. w2 no longer has a record in the store, and does not answer.
 type takeoverFixture struct {
 	*fixture
-	keeps StartRun
+	poolRun StartRun
 }
 
 func newTakeoverFixture(t *testing.T) *takeoverFixture {
@@ -28,15 +28,15 @@
 	last := RosterEntry{ID: "w2", Service: "blue", Host: "host-of-w2", Address: netip.MustParseAddrPort("10.0.0.2:80")}
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1")},
-		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 50}},
+		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 50}},
 		Roster: Roster{Workers: []RosterEntry{last}},
 	})
 	f.answer("w1", platform.PollReply{})
 	f.submit(idB, "quick", s)
 	l := f.starts()
 	require.Len(t, l, 1, "no earlier owner has seen the new job")
-	h := &takeoverFixture{fixture: f, keeps: l[0]}
-	h.took(h.keeps)
+	h := &takeoverFixture{fixture: f, poolRun: l[0]}
+	h.acceptStart(h.poolRun)
 	return h
 }
 
@@ -46,8 +46,8 @@
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(tickEvery)
 		f.timeOutPoll("w2")
-		if _, ok := f.looks["w1"]; ok {
-			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.keeps, 100)}})
+		if _, ok := f.polls["w1"]; ok {
+			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.poolRun, 100)}})
 		}
 		if f.core.listing {
 			f.listMachines(l...)
@@ -59,20 +59,20 @@
 // timeOutPoll fails the poll in flight to a worker that does not answer, once it has timed out.
 func (f *takeoverFixture) timeOutPoll(id platform.WorkerID) {
 	w := f.core.workers[id]
-	a, ok := f.looks[id]
+	a, ok := f.polls[id]
 	if ok && w != nil && f.now.Sub(w.pollSentAt) >= pollSlack+a.Order.Wait {
 		f.fail(string(id), common.ErrNotSent)
 	}
 }
 
-// lastingTaskAgainWithin is how soon after a change of owner a lasting task of a removed host
+// lastingRestartWithin is how soon after a change of owner a lasting task of a removed host
 // has to start. A task counts as lost six seconds after the end of its last run, of which the
 // previous owner's lease takes up to one and a half.
-const lastingTaskAgainWithin = 4 * time.Second
+const lastingRestartWithin = 4 * time.Second
 
 func TestNextOwnerDoesNotWaitForAHostThatWasRemoved(t *testing.T) {
 	f := newTakeoverFixture(t)
-	l := f.passListing(lastingTaskAgainWithin, machineOf("w1", "blue"))
+	l := f.passListing(lastingRestartWithin, machineOf("w1", "blue"))
 	require.Len(t, l, 1)
 	require.EqualValues(t, "w1", l[0].Worker.ID)
 }
@@ -102,7 +102,7 @@
 func TestWorkerWithARecordIsNotTakenForRemoved(t *testing.T) {
 	f := newTakeoverFixture(t)
 	f.step(WorkerListed{Worker: testWorker("w2")})
-	require.Empty(t, f.passListing(lastingTaskAgainWithin, machineOf("w1", "blue")))
+	require.Empty(t, f.passListing(lastingRestartWithin, machineOf("w1", "blue")))
 }
 
 // A host that answers was not removed, whatever the machine list says.
@@ -111,7 +111,7 @@
 	task := taskKey{id: idA}.String()
 	for range 20 {
 		f.pass(100 * time.Millisecond)
-		if _, ok := f.looks["w2"]; ok {
+		if _, ok := f.polls["w2"]; ok {
 			f.answer("w2", platform.PollReply{Running: []platform.RunningRow{{Task: task, Run: 7, Percent: 100}}})
 		}
 		f.listMachines(machineOf("w1", "blue"))
@@ -121,10 +121,10 @@
 
 // An owner starts the tasks of a removed host before the lease expires, without a takeover as
 // well.
-func TestLastingTaskOfARemovedHostStartsBeforeItsLeaseHasLapsed(t *testing.T) {
+func TestLastingTaskOfARemovedHostStartsBeforeItsLeaseExpires(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
-	f.runAtWork(r, time.Second)
+	f.passWhileReady(r, time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.out = nil
 	f.fail("w1", common.ErrNotSent)
@@ -145,7 +145,7 @@
 	f.listMachines(up...)
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
 	f.pass(time.Second)
-	first := f.upkeeps()[0].Machine
+	first := f.maintenanceOrders()[0].Machine
 	f.step(MachineOrderResult{Machine: first})
 	var rest []platform.Machine
 	for _, m := range up {
@@ -158,7 +158,7 @@
 		f.listMachines(rest...)
 	}
 	f.pass(200 * time.Millisecond)
-	l := f.upkeeps()
+	l := f.maintenanceOrders()
 	require.Len(t, l, 2, "the removed machine does not count towards the cap")
 	f.step(MachineOrderResult{Machine: l[1].Machine})
 	f.pass(time.Second)
@@ -170,7 +170,7 @@
 // A wave waited forever for a machine that the list shows as up, whose worker was removed
 // after its lease had expired and has no record, as nothing was known of what ran there.
 // Nothing does once the longest lease that any owner can have given has ended.
-func TestWaveDoesNotWaitForAMachineWhoseWorkerIsNotHeardOf(t *testing.T) {
+func TestWaveDoesNotWaitForAMachineWhoseWorkerIsUnknown(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
@@ -178,8 +178,8 @@
 	f.step(WorkerUnlisted{Name: "w1"})
 	began := f.now
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name}, Within: 20 * time.Second, Cap: 1}})
-	for f.now.Sub(began) < 20*time.Second && len(f.upkeeps()) == 0 {
-		if _, ok := f.looks["w1"]; ok && f.core.workers["w1"] != nil {
+	for f.now.Sub(began) < 20*time.Second && len(f.maintenanceOrders()) == 0 {
+		if _, ok := f.polls["w1"]; ok && f.core.workers["w1"] != nil {
 			f.fail("w1", common.ErrUnknown)
 		}
 		f.pass(tickEvery)
@@ -187,7 +187,7 @@
 			f.listMachines(up...)
 		}
 	}
-	require.NotEmpty(t, f.upkeeps(), "within the time of the wave")
+	require.NotEmpty(t, f.maintenanceOrders(), "within the time of the wave")
 	require.Nil(t, f.core.workers["w1"])
 	require.GreaterOrEqual(t, f.now.Sub(began), inheritedLease, "not while a lease may last")
 }
--- a/job/roster_test.go
+++ b/job/roster_test.go
@@ -104,7 +104,7 @@
 	for i := range 25 {
 		f.submit(fmt.Sprintf("%016x", i), "quick", s, tooLarge)
 		for _, l := range f.starts() {
-			f.took(l)
+			f.acceptStart(l)
 			rows = append(rows, ended(int64(i+1), l, platform.EndDone))
 		}
 	}
--- a/job/route.go
+++ b/job/route.go
@@ -11,11 +11,11 @@
 // configuration.
 type routes struct {
 	config *platform.Deployed
-	// written is the configuration as the operator wrote it. Other entry hosts get it in
+	// raw is the configuration as the operator wrote it. Other entry hosts get it in
 	// this form.
-	written []byte
-	byHost  map[string][]platform.Queue
-	keys    keyIndex
+	raw    []byte
+	byHost map[string][]platform.Queue
+	keys   keyIndex
 }
 
 func newRoutes(d *platform.Deployed) *routes {
--- a/job/serve.go
+++ b/job/serve.go
@@ -103,10 +103,10 @@
 	return v
 }
 
-// fullUntil returns when the caller of a job may retry, or false unless the job is refused
+// refusedUntil returns when the caller of a job may retry, or false unless the job is refused
 // because its queue is full. A job that was accepted before is not refused: this may be a
 // retry of the same request.
-func (n *Node) fullUntil(ctx context.Context, id ID, c caller) (time.Time, bool) {
+func (n *Node) refusedUntil(ctx context.Context, id ID, c caller) (time.Time, bool) {
 	at, why, full := n.election.refusedUntil(id, c)
 	if !full {
 		return time.Time{}, false
--- a/job/shares.go
+++ b/job/shares.go
@@ -35,7 +35,7 @@
 	tokenBucket
 	// sent counts its accepted jobs since the last evaluation, beyond those of them that
 	// exceeded its share.
-	sent, beyond int
+	sent, overShare int
 	// fraction is the fraction of its jobs, from 0 to 1, that is admitted while admission
 	// is limited.
 	fraction float64
@@ -54,7 +54,7 @@
 	s.refill(now, t.Weight, capacity)
 	s.sent++
 	if s.tokens < 1 {
-		s.beyond++
+		s.overShare++
 		return true
 	}
 	s.tokens--
@@ -69,12 +69,12 @@
 	if s.fraction == 0 || !limited {
 		s.fraction = 1
 	}
-	if s.beyond > 0 {
-		s.fraction = max(minTeamFraction, s.fraction*(1-float64(s.beyond)/float64(s.sent)))
+	if s.overShare > 0 {
+		s.fraction = max(minTeamFraction, s.fraction*(1-float64(s.overShare)/float64(s.sent)))
 	} else {
 		s.fraction = min(1, s.fraction*teamFractionIncrease)
 	}
-	s.sent, s.beyond = 0, 0
+	s.sent, s.overShare = 0, 0
 	return s.fraction
 }
 
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -31,7 +31,7 @@
 	n := 0
 	send := func(team string) {
 		n++
-		f.handIn(fmt.Sprintf("%016x", n), team, "quick", tasksOf(1))
+		f.submitAs(fmt.Sprintf("%016x", n), team, "quick", tasksOf(1))
 	}
 	for i := range 100 {
 		send("tint")
@@ -39,7 +39,7 @@
 			send("paint")
 		}
 		for _, s := range f.starts() {
-			f.took(s)
+			f.acceptStart(s)
 			k, _ := parseTaskKey(s.Order.Task)
 			began[f.core.jobs[k.id].Team]++
 		}
@@ -61,7 +61,7 @@
 			l.Running = append(l.Running, platform.RunningRow{Task: r.task.key().String(), Run: r.number, Percent: 50})
 		}
 	}
-	if _, polled := f.looks[platform.WorkerID(id)]; polled {
+	if _, polled := f.polls[platform.WorkerID(id)]; polled {
 		f.answer(id, l)
 	}
 }
@@ -71,7 +71,7 @@
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: weightedConfig()})
 	for i := range 2 {
-		f.handIn(fmt.Sprintf("%016x", i+2), "tint", "quick", tasksOf(1))
+		f.submitAs(fmt.Sprintf("%016x", i+2), "tint", "quick", tasksOf(1))
 	}
 	last := f.core.jobs["0000000000000003"]
 	require.True(t, f.core.beyondShare(last))
@@ -110,7 +110,7 @@
 	s := oneTask()
 	s.Count = 10
 	for i := range 200 {
-		f.handIn(fmt.Sprintf("%016x", i), []string{"tint", "tint", "tint", "paint"}[i%8/2], "patient", s)
+		f.submitAs(fmt.Sprintf("%016x", i), []string{"tint", "tint", "tint", "paint"}[i%8/2], "patient", s)
 		if i%8 == 0 {
 			f.run(100 * time.Millisecond)
 		}
--- a/job/silence_test.go
+++ b/job/silence_test.go
@@ -166,7 +166,7 @@
 // For any bound on the configuration's delay: a watch on a silent connection and the next one
 // leave time for applying the configuration, a slow store has time to answer each, and the
 // entry host does not become unready for it.
-func TestWatchOfTheConfigurationFollowsFromItsBound(t *testing.T) {
+func TestConfigWatchFitsItsBound(t *testing.T) {
 	const slow = 250 * time.Millisecond
 	for _, c := range []time.Duration{1250 * time.Millisecond, 2 * time.Second, 4 * time.Second, time.Minute} {
 		w := configWatch(c)
--- a/job/slow.go
+++ b/job/slow.go
@@ -28,15 +28,15 @@
 // tasks shows that its worker is slow. A task is moved for that once only.
 func (c *Core) tooSlow(r *run) bool {
 	t := r.task
-	if t.of.Lasting || t.of.BestEffort || t.moved || t.of.Gang {
+	if t.step.Lasting || t.step.BestEffort || t.moved || t.step.Gang {
 		return false
 	}
 	total, ok := r.projectedTime()
 	elapsed := r.reportedAt.Sub(r.sentAt)
-	if !ok || elapsed < slowAfter || total-elapsed <= slowRestFactor*c.expectedRunTime(t.of.of.job, t.of.Step)+slowAfter {
+	if !ok || elapsed < slowAfter || total-elapsed <= slowRestFactor*c.expectedRunTime(t.step.instance.job, t.step.Step)+slowAfter {
 		return false
 	}
-	return c.workerSlow(r, total) && c.roomElsewhere(r.at, t)
+	return c.workerSlow(r, total) && c.roomElsewhere(r.worker, t)
 }
 
 // projectedTime returns the total run time extrapolated from the last report of the run's
@@ -53,13 +53,13 @@
 // take much less elsewhere or, if there are none, other jobs on the worker are slow as well.
 // Without either comparison the run has to be slower than any error of its estimate explains.
 func (c *Core) workerSlow(r *run, total time.Duration) bool {
-	if l := r.task.of.timesElsewhere(r.at); len(l) >= minSlowSamples {
+	if l := r.task.step.timesElsewhere(r.worker); len(l) >= minSlowSamples {
 		return float64(total) > slowRunFactor*float64(median(l))
 	}
 	if l := c.otherJobSlowdowns(r); len(l) >= minSlowSamples {
 		return median(l) > slowRunFactor
 	}
-	return total > slowRunFactorAlone*c.expectedRunTime(r.task.of.of.job, r.task.of.Step)
+	return total > slowRunFactorAlone*c.expectedRunTime(r.task.step.instance.job, r.task.step.Step)
 }
 
 // timesElsewhere returns the run times of the step's tasks on other workers.
@@ -67,10 +67,10 @@
 	var l []time.Duration
 	for _, t := range s.tasks {
 		if !t.doneAt.IsZero() && t.doneOn != w.ID {
-			l = append(l, t.doneAt.Sub(t.begunAt))
+			l = append(l, t.doneAt.Sub(t.startedAt))
 		}
 		for _, r := range t.runs {
-			if total, ok := r.projectedTime(); ok && r.at != w {
+			if total, ok := r.projectedTime(); ok && r.worker != w {
 				l = append(l, total)
 			}
 		}
@@ -82,10 +82,10 @@
 // what was expected.
 func (c *Core) otherJobSlowdowns(r *run) []float64 {
 	var l []float64
-	for _, o := range r.at.runs {
-		j := o.task.of.of.job
-		e := c.expectedRunTime(j, o.task.of.Step)
-		if total, ok := o.projectedTime(); ok && e > 0 && j != r.task.of.of.job && !o.task.of.Lasting {
+	for _, o := range r.worker.runs {
+		j := o.task.step.instance.job
+		e := c.expectedRunTime(j, o.task.step.Step)
+		if total, ok := o.projectedTime(); ok && e > 0 && j != r.task.step.instance.job && !o.task.step.Lasting {
 			l = append(l, float64(total)/float64(e))
 		}
 	}
--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -29,7 +29,7 @@
 		f.submit(fmt.Sprintf("%016x", i), "quick", s, tooLarge)
 		f.pass(tickEvery)
 		for _, s := range f.starts() {
-			f.took(s)
+			f.acceptStart(s)
 			rows = append(rows, ended(int64(i+1), s, platform.EndDone))
 		}
 	}
--- a/job/slow_test.go
+++ b/job/slow_test.go
@@ -19,7 +19,7 @@
 	f.submit(idA, "quick", s)
 	l := map[platform.WorkerID][]StartRun{}
 	for _, r := range f.starts() {
-		f.took(r)
+		f.acceptStart(r)
 		l[r.Worker.ID] = append(l[r.Worker.ID], r)
 	}
 	require.Len(f.t, l, 3)
@@ -84,7 +84,7 @@
 		l := f.starts()
 		require.Len(t, l, 3)
 		for _, r := range l {
-			f.took(r)
+			f.acceptStart(r)
 		}
 		f.join("w2")
 		f.pass(time.Second)
--- a/job/stall.go
+++ b/job/stall.go
@@ -37,27 +37,27 @@
 // stalled reports whether the run has made no progress for too long.
 func (c *Core) stalled(r *run) bool {
 	t := r.task
-	if t.of.Lasting {
+	if t.step.Lasting {
 		return r.stuck(c.now)
 	}
 	if t.stalls >= maxStalls {
 		return false
 	}
-	return c.now.Sub(r.progressAt) > max(stallAfter, c.expectedRunTime(t.of.of.job, t.of.Step)/stallShare)
+	return c.now.Sub(r.progressAt) > max(stallAfter, c.expectedRunTime(t.step.instance.job, t.step.Step)/stallShare)
 }
 
 // moveElsewhere stops the run, so that its task starts on another worker, and quarantines its
 // worker unless the pool is small.
 func (c *Core) moveElsewhere(r *run, why string) {
 	t := r.task
-	w := r.at
+	w := r.worker
 	t.moved = true
 	t.avoid = w.ID
 	if len(c.pools[w.Service]) > quarantineDivisor {
 		w.quarantinedUntil = c.now.Add(stallQuarantine)
 	}
-	c.emit(LogLine{What: "worker quarantined", Worker: w.ID, Job: t.of.of.job.id, Run: r.number, Why: why, Fields: []any{
-		"percent", r.percent, "went_ms", c.now.Sub(r.sentAt).Milliseconds(), "expected_ms", c.expectedRunTime(t.of.of.job, t.of.Step).Milliseconds(),
+	c.emit(LogLine{What: "worker quarantined", Worker: w.ID, Job: t.step.instance.job.id, Run: r.number, Why: why, Fields: []any{
+		"percent", r.percent, "went_ms", c.now.Sub(r.sentAt).Milliseconds(), "expected_ms", c.expectedRunTime(t.step.instance.job, t.step.Step).Milliseconds(),
 	}})
 	c.stop(r, why)
 }
--- a/job/state.go
+++ b/job/state.go
@@ -46,7 +46,7 @@
 // instance is one occurrence of a recurring job, or the only one of any other job.
 type instance struct {
 	job   *job
-	k     int
+	index int
 	due   time.Time
 	steps []*step
 	// remaining counts the tasks that are not done.
@@ -56,7 +56,7 @@
 // step is a step of an instance.
 type step struct {
 	*platform.Step
-	of        *instance
+	instance  *instance
 	index     int
 	tasks     []*task
 	remaining int
@@ -72,14 +72,14 @@
 
 // task is one task of a step.
 type task struct {
-	of    *step
+	step  *step
 	index int
 	done  bool
-	// failed holds the numbers of its failed runs.
-	failed   []int64
-	crashes  crashes
-	runs     []*run
-	snapshot string
+	// failedRuns holds the numbers of its failed runs.
+	failedRuns []int64
+	crashes    crashes
+	runs       []*run
+	snapshot   string
 	// avoid is the worker on which the last run failed, was refused, stalled or was slow.
 	avoid platform.WorkerID
 	// notBefore delays the next start after a run ended early, crashed its worker or was
@@ -89,9 +89,9 @@
 	unavailableSince time.Time
 	// ready reports whether a lasting task is ready, by its worker's last answer.
 	ready bool
-	// begunAt and doneAt are the start and end of its successful run, doneOn its worker.
-	begunAt, doneAt time.Time
-	doneOn          platform.WorkerID
+	// startedAt and doneAt are the start and end of its successful run, doneOn its worker.
+	startedAt, doneAt time.Time
+	doneOn            platform.WorkerID
 	// moved reports whether a run was stopped for being slow or stalled.
 	moved bool
 	// stalls counts the runs that were stopped for making no progress.
@@ -116,7 +116,7 @@
 type run struct {
 	number int64
 	task   *task
-	at     *worker
+	worker *worker
 	phase  phase
 	// startConfirmed reports whether its worker is known to have accepted the start.
 	startConfirmed bool
@@ -163,17 +163,17 @@
 
 // taskKey identifies a task across all jobs.
 type taskKey struct {
-	id    ID
-	k     int
-	step  int
-	index int
+	id       ID
+	instance int
+	step     int
+	index    int
 }
 
 // String returns the task's name on the wire.
 func (k taskKey) String() string {
 	b := make([]byte, 0, 40)
 	b = append(b, k.id...)
-	for _, n := range [...]int{k.k, k.step, k.index} {
+	for _, n := range [...]int{k.instance, k.step, k.index} {
 		b = append(b, '.')
 		b = strconv.AppendInt(b, int64(n), 10)
 	}
@@ -187,7 +187,7 @@
 		return taskKey{}, false
 	}
 	k := taskKey{id: ID(p[0])}
-	for i, d := range []*int{&k.k, &k.step, &k.index} {
+	for i, d := range []*int{&k.instance, &k.step, &k.index} {
 		n, err := strconv.Atoi(p[i+1])
 		if err != nil || n < 0 {
 			return taskKey{}, false
@@ -198,8 +198,8 @@
 }
 
 func (t *task) key() taskKey {
-	n := t.of.of
-	return taskKey{id: n.job.id, k: n.k, step: t.of.index, index: t.index}
+	n := t.step.instance
+	return taskKey{id: n.job.id, instance: n.index, step: t.step.index, index: t.index}
 }
 
 // idle reports whether the task is neither done nor has a run.
@@ -208,17 +208,17 @@
 }
 
 func newInstance(j *job, k int, due time.Time) *instance {
-	n := &instance{job: j, k: k, due: due}
+	n := &instance{job: j, index: k, due: due}
 	for i := range j.Steps {
 		d := &j.Steps[i]
-		s := &step{Step: d, of: n, index: i, remaining: d.Count, idle: d.Count}
+		s := &step{Step: d, instance: n, index: i, remaining: d.Count, idle: d.Count}
 		if d.MaxPerWorker > 0 {
 			s.perWorker = map[platform.WorkerID]int{}
 		}
 		block := make([]task, d.Count)
 		s.tasks = make([]*task, d.Count)
 		for x := range block {
-			block[x] = task{of: s, index: x}
+			block[x] = task{step: s, index: x}
 			s.tasks[x] = &block[x]
 		}
 		n.remaining += d.Count
@@ -233,10 +233,10 @@
 		return
 	}
 	if t.idle() {
-		t.of.idle--
+		t.step.idle--
 	}
 	t.done = true
-	t.of.remaining--
+	t.step.remaining--
 	n.remaining--
 }
 
@@ -247,7 +247,7 @@
 			return false
 		}
 		for _, t := range s.tasks {
-			if len(t.failed) > 0 || t.crashes.All > 0 {
+			if len(t.failedRuns) > 0 || t.crashes.All > 0 {
 				return false
 			}
 		}
@@ -258,7 +258,7 @@
 // unblocked reports whether the steps that s depends on are done.
 func (s *step) unblocked() bool {
 	for _, a := range s.After {
-		if s.of.steps[a].remaining > 0 {
+		if s.instance.steps[a].remaining > 0 {
 			return false
 		}
 	}
@@ -269,14 +269,14 @@
 func (r *run) attach() {
 	t := r.task
 	if t.idle() {
-		t.of.idle--
+		t.step.idle--
 	}
 	t.runs = append(t.runs, r)
-	if t.of.perWorker != nil {
-		t.of.perWorker[r.at.ID]++
+	if t.step.perWorker != nil {
+		t.step.perWorker[r.worker.ID]++
 	}
-	t.of.of.job.team.charge(t.of.Resources, 1)
-	r.at.attach(r)
+	t.step.instance.job.team.charge(t.step.Resources, 1)
+	r.worker.attach(r)
 }
 
 // detach removes a run that has ended from its task and its worker.
@@ -289,12 +289,12 @@
 		}
 	}
 	if t.idle() {
-		t.of.idle++
-		t.of.firstIdle = min(t.of.firstIdle, t.index)
+		t.step.idle++
+		t.step.firstIdle = min(t.step.firstIdle, t.index)
 	}
-	if t.of.perWorker != nil {
-		t.of.perWorker[r.at.ID]--
+	if t.step.perWorker != nil {
+		t.step.perWorker[r.worker.ID]--
 	}
-	t.of.of.job.team.charge(t.of.Resources, -1)
-	r.at.detach(r)
+	t.step.instance.job.team.charge(t.step.Resources, -1)
+	r.worker.detach(r)
 }
--- a/job/takeover.go
+++ b/job/takeover.go
@@ -48,7 +48,7 @@
 type Inherited struct {
 	Config   *platform.Deployed
 	Workers  []platform.Worker
-	Jobs     []JobAccepted
+	Jobs     []Accepted
 	Progress map[ID]Progress
 	Cancels  []ID
 	Roster   Roster
@@ -72,7 +72,7 @@
 	c.inheritRoster(e.Roster)
 	c.inheritAdmission(e.Admission)
 	for _, m := range e.Roster.Ordered {
-		c.heldUntil[m] = c.now.Add(handoverPause)
+		c.noOrdersUntil[m] = c.now.Add(handoverPause)
 	}
 	for id, p := range e.Progress {
 		if p.State.Final() {
@@ -81,7 +81,7 @@
 	}
 	for _, j := range e.Jobs {
 		if c.jobs[j.ID] == nil {
-			c.recordArrival(c.add(j.ID, j.Record, j.Created, e.Progress[j.ID]), j.Record.ReceivedAt)
+			c.recordArrival(c.addJob(j.ID, j.Record, j.Created, e.Progress[j.ID]), j.Record.ReceivedAt)
 		}
 	}
 	for _, id := range e.Cancels {
@@ -131,7 +131,7 @@
 func (c *Core) updateUncontacted() {
 	previous := c.uncontacted
 	c.uncontacted = map[string]time.Time{}
-	var room uncontactedRoom
+	var room uncontactedCapacity
 	for _, w := range c.workers {
 		if !w.inherited || w.contacted || c.leaseExpired(w) {
 			continue
@@ -155,15 +155,15 @@
 	c.countUncontacted(room)
 }
 
-// uncontactedRoom is the total capacity of inherited workers that have not answered.
-type uncontactedRoom struct {
+// uncontactedCapacity is the total capacity of inherited workers that have not answered.
+type uncontactedCapacity struct {
 	platform.Resources
 	// unknown reports whether one of them is known only from the roster, which does not
 	// tell its capacity.
 	unknown bool
 }
 
-func (r *uncontactedRoom) add(w *worker) {
+func (r *uncontactedCapacity) add(w *worker) {
 	r.Resources = r.Plus(w.Capacity, 1)
 	r.unknown = r.unknown || w.Capacity == (platform.Resources{})
 }
--- a/job/teams.go
+++ b/job/teams.go
@@ -191,7 +191,7 @@
 // that have not been contacted: all tasks without a known run of jobs that may have runs
 // there, but no more than the capacity of those workers, if it is known. Counting this
 // against the cap until the workers answer keeps teams within their caps across owners.
-func (c *Core) countUncontacted(room uncontactedRoom) {
+func (c *Core) countUncontacted(room uncontactedCapacity) {
 	for _, t := range c.teams.byName {
 		if t.uncontactedUsage != (platform.Resources{}) {
 			t.uncontactedUsage = platform.Resources{}
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -23,12 +23,12 @@
 	return platform.Resources{MilliCores: 1000 * n}
 }
 
-// handIn submits a job of a team.
-func (f *fixture) handIn(id, team, queue string, steps ...platform.Step) {
+// submitAs submits a job of a team.
+func (f *fixture) submitAs(id, team, queue string, steps ...platform.Step) {
 	r := NewRecord(f.core.queues[queue], platform.Submission{Spec: "spec", Steps: steps}, f.now)
 	r.Team = team
 	require.NoError(f.t, r.Check())
-	f.step(JobAccepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
+	f.step(Accepted{ID: ID(id), Record: r, Created: platform.Revision(1000 + len(f.core.jobs))})
 }
 
 // tasksOf returns a step of n tasks that take one core each.
@@ -38,7 +38,7 @@
 
 func (f *fixture) tookAll(l []StartRun) {
 	for _, s := range l {
-		f.took(s)
+		f.acceptStart(s)
 	}
 }
 
@@ -48,8 +48,8 @@
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(2))})
 	f.join("w1", "w2")
-	f.handIn(idA, "paint", "quick", tasksOf(4))
-	f.handIn(idB, "tint", "patient", tasksOf(3))
+	f.submitAs(idA, "paint", "quick", tasksOf(4))
+	f.submitAs(idB, "tint", "patient", tasksOf(3))
 	l := f.starts()
 	mine, others := byJob(l, idA), byJob(l, idB)
 	require.Len(t, mine, 2, "the cap is two cores")
@@ -100,11 +100,11 @@
 	w.Service = "green"
 	f.step(WorkerListed{Worker: w})
 	f.answer("w2", platform.PollReply{})
-	f.handIn(idA, "paint", "quick", tasksOf(1))
+	f.submitAs(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
 	f.tookAll(l)
-	f.handIn(idB, "paint", "green", tasksOf(1))
+	f.submitAs(idB, "paint", "green", tasksOf(1))
 	require.Empty(t, f.starts())
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	require.Len(t, f.starts(), 1)
@@ -115,11 +115,11 @@
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(1))})
 	f.join("w1", "w2")
-	f.handIn(idA, "paint", "quick", tasksOf(1))
+	f.submitAs(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
 	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknown})
-	f.handIn(idB, "paint", "quick", tasksOf(1))
+	f.submitAs(idB, "paint", "quick", tasksOf(1))
 	require.Empty(t, f.starts(), "the start may be carried out late")
 	f.step(CancelRequested{ID: idA})
 	f.pass(200 * time.Millisecond)
@@ -138,11 +138,11 @@
 	rec.Team = "paint"
 	f.step(Inherited{
 		Config: cappedConfig(2, cores(2)), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
-		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 10}},
+		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 10}},
 		Roster: Roster{Workers: []RosterEntry{rosterEntryOf(newWorker(testWorker("w1"), f.now)), rosterEntryOf(newWorker(testWorker("w2"), f.now))}},
 	})
 	f.answer("w2", platform.PollReply{})
-	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
+	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
 	require.Empty(t, f.starts(), "w1 may run two tasks of the team")
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{
 		{Task: idA + ".0.0.0", Run: 7, Percent: 20}, {Task: idA + ".0.0.1", Run: 8, Percent: 20},
@@ -164,13 +164,13 @@
 	rec.Team = "paint"
 	f.step(Inherited{
 		Config: cappedConfig(2, cores(1)), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
-		Jobs:    []JobAccepted{{ID: idA, Record: rec, Created: 10}},
+		Jobs:    []Accepted{{ID: idA, Record: rec, Created: 10}},
 		Cancels: []ID{idA},
 		Roster:  Roster{Workers: []RosterEntry{rosterEntryOf(newWorker(testWorker("w1"), f.now))}},
 	})
 	f.answer("w2", platform.PollReply{})
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: 7, Percent: 20}}})
-	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
+	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
 	require.Empty(t, f.starts())
 	f.pass(50 * time.Millisecond)
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndStopped}}})
@@ -187,11 +187,11 @@
 	rec.Team = "paint"
 	f.step(Inherited{
 		Config: cappedConfig(2, cores(1)), Workers: []platform.Worker{testWorker("w2")},
-		Jobs:   []JobAccepted{{ID: idA, Record: rec, Created: 10}},
+		Jobs:   []Accepted{{ID: idA, Record: rec, Created: 10}},
 		Roster: Roster{Workers: []RosterEntry{rosterEntryOf(newWorker(testWorker("w1"), f.now)), rosterEntryOf(newWorker(testWorker("w2"), f.now))}},
 	})
 	f.answer("w2", platform.PollReply{})
-	f.step(JobAccepted{ID: idB, Record: rec, Created: 6000})
+	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
 	f.pass(100 * time.Millisecond)
 	require.Empty(t, f.starts(), "the task of the first job may run on w1")
 	f.answer("w1", platform.PollReply{})
@@ -203,13 +203,13 @@
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(3))})
 	f.join("w1", "w2")
-	f.handIn(idA, "paint", "quick", tasksOf(1))
+	f.submitAs(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
 	f.tookAll(l)
 	g := tasksOf(3)
 	g.Gang = true
-	f.handIn(idB, "paint", "quick", g)
+	f.submitAs(idB, "paint", "quick", g)
 	require.Empty(t, f.starts())
 	f.answer(string(l[0].Worker.ID), platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	require.Len(t, f.starts(), 3)
@@ -221,7 +221,7 @@
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: cappedConfig(2, cores(1))})
 	f.join("w1", "w2")
-	f.handIn(idA, "paint", "quick", tasksOf(8))
+	f.submitAs(idA, "paint", "quick", tasksOf(8))
 	count := func() int {
 		l := f.starts()
 		f.tookAll(l)
@@ -246,10 +246,10 @@
 		f := newFixture(t)
 		f.step(ConfigChanged{Config: cappedConfig(2, limit)})
 		f.join("w1")
-		f.handIn(idA, "paint", "quick", tasksOf(4))
+		f.submitAs(idA, "paint", "quick", tasksOf(4))
 		f.tookAll(f.starts())
 		for i := range 6 {
-			f.handIn(string(rune('0'+i))+idB[1:], "paint", "quick", tasksOf(8))
+			f.submitAs(string(rune('0'+i))+idB[1:], "paint", "quick", tasksOf(8))
 		}
 		return f.core.wantedHosts("blue")
 	}
--- a/job/unconfigured_test.go
+++ b/job/unconfigured_test.go
@@ -18,7 +18,7 @@
 	w.Service = "violet"
 	f.step(WorkerListed{Worker: w})
 	f.pass(time.Second)
-	require.Empty(t, f.looks)
+	require.Empty(t, f.polls)
 	require.False(t, f.roster().has("w1"))
 
 	f.join("w2")
@@ -35,7 +35,7 @@
 	c.Version = 2
 	c.Services = append(c.Services, platform.Service{Name: "violet"})
 	f.step(ConfigChanged{Config: c})
-	require.Contains(t, f.looks, platform.WorkerID("w1"))
+	require.Contains(t, f.polls, platform.WorkerID("w1"))
 }
 
 // A worker that was removed before its service is configured is not used.
@@ -51,7 +51,7 @@
 			c.Version = 2
 			c.Services = append(c.Services, platform.Service{Name: "violet"})
 			f.step(ConfigChanged{Config: c})
-			require.Empty(t, f.looks)
+			require.Empty(t, f.polls)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
 	require.Len(t, l, 1)
-	f.took(l[0])
+	f.acceptStart(l[0])
 	c := testConfig()
 	c.Version = 2
 	c.Services = c.Services[1:]
@@ -111,7 +111,7 @@
 	f := newFixture(t)
 	rec := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "s", Steps: []platform.Step{oneTask()}}, f.now)
 	r.Workers = []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1", Address: netip.MustParseAddrPort("10.0.0.1:80")}}
-	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: []JobAccepted{{ID: idA, Record: rec, Created: 50}}, Roster: r})
+	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: []Accepted{{ID: idA, Record: rec, Created: 50}}, Roster: r})
 	f.answer("w1", platform.PollReply{})
 	f.pass(inheritedLease - 100*time.Millisecond)
 	require.Empty(t, f.starts())
--- a/job/upcoming.go
+++ b/job/upcoming.go
@@ -46,7 +46,7 @@
 // opensBy reports whether the steps before s are expected to be done by the time.
 func (c *Core) opensBy(s *step, at time.Time) bool {
 	for _, a := range s.After {
-		before := s.of.steps[a]
+		before := s.instance.steps[a]
 		if before.remaining > 0 && (!before.unblocked() || c.unfinished(before, at) > 0) {
 			return false
 		}
@@ -58,7 +58,7 @@
 // time.
 func (c *Core) unfinished(s *step, at time.Time) int {
 	n := s.idle
-	runTime := c.expectedRunTime(s.of.job, s.Step)
+	runTime := c.expectedRunTime(s.instance.job, s.Step)
 	for _, t := range s.tasks {
 		if !t.done && len(t.runs) > 0 && t.runs[0].sentAt.Add(runTime).After(at) {
 			n++
--- a/job/upcoming_test.go
+++ b/job/upcoming_test.go
@@ -24,7 +24,7 @@
 		wide.Count = 40
 		wide.After = []int{0}
 		f.submit(idA, "quick", first, wide)
-		f.took(f.starts()[0])
+		f.acceptStart(f.starts()[0])
 		f.pass(100 * time.Millisecond)
 		got := f.core.upcomingDemand("blue", f.now.Add(moveDuration)).MilliCores
 		if v.wants {
@@ -49,7 +49,7 @@
 		Config:  testConfig(),
 		Workers: []platform.Worker{testWorker("w1")},
 		Roster:  Roster{Workers: []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1"}}},
-		Jobs:    []JobAccepted{{ID: idA, Record: r, Created: 50}},
+		Jobs:    []Accepted{{ID: idA, Record: r, Created: 50}},
 	})
 	f.listMachines(machineOf("w1", "blue"))
 	require.Zero(t, f.core.hostsForSpread("blue"))
--- a/job/waitlist.go
+++ b/job/waitlist.go
@@ -10,8 +10,8 @@
 type candidate struct {
 	*step
 	priority int
-	// beyond says that the job exceeds its team's share, see beyondShare.
-	beyond bool
+	// overShare says that the job exceeds its team's share, see beyondShare.
+	overShare bool
 	// late says that the job is not expected to meet its deadline any more.
 	late bool
 	// latestStart is when the step has to start for its job to meet its deadline.
@@ -169,7 +169,7 @@
 		l.steps = append(l.steps, candidate{
 			step:        s,
 			priority:    q.Priority,
-			beyond:      c.beyondShare(n.job),
+			overShare:   c.beyondShare(n.job),
 			late:        !s.Lasting && c.now.After(latest),
 			latestStart: latest,
 		})
@@ -187,11 +187,11 @@
 	}
 	return cmp.Or(
 		cmp.Compare(a.priority, b.priority),
-		compareBool(a.beyond, b.beyond),
+		compareBool(a.overShare, b.overShare),
 		compareBool(a.late, b.late),
 		a.latestStart.Compare(b.latestStart),
-		cmp.Compare(a.of.job.id, b.of.job.id),
-		cmp.Compare(a.of.k, b.of.k),
+		cmp.Compare(a.instance.job.id, b.instance.job.id),
+		cmp.Compare(a.instance.index, b.instance.index),
 		cmp.Compare(a.index, b.index),
 	)
 }
--- a/job/waitlist_test.go
+++ b/job/waitlist_test.go
@@ -28,7 +28,7 @@
 	f := newFixture(t)
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
-	f.took(f.starts()[0])
+	f.acceptStart(f.starts()[0])
 	green := f.core.listOf("green")
 	green.needsPlacement = false
 	blue := f.core.listOf("blue")
@@ -82,7 +82,7 @@
 	for i := range workers/2 + jobs {
 		q := c.queues[fmt.Sprint("s", i%services)]
 		r := NewRecord(q, platform.Submission{Spec: "s", Steps: []platform.Step{step}}, now)
-		do(JobAccepted{ID: ID(fmt.Sprintf("%016x", i)), Record: r, Created: platform.Revision(1000 + i)})
+		do(Accepted{ID: ID(fmt.Sprintf("%016x", i)), Record: r, Created: platform.Revision(1000 + i)})
 	}
 	ends := map[platform.WorkerID]int64{}
 	b.ReportAllocs()
--- a/job/waves.go
+++ b/job/waves.go
@@ -121,15 +121,15 @@
 	}
 	for _, v := range c.waves {
 		if !v.reported {
-			c.markInWave(v)
+			c.markMaintenanceDue(v)
 			c.reconcileWave(v)
 		}
 	}
 }
 
-// markInWave marks the workers on machines with pending maintenance in the wave, so that
+// markMaintenanceDue marks the workers on machines with pending maintenance in the wave, so that
 // lasting tasks are placed elsewhere.
-func (c *Core) markInWave(v *wave) {
+func (c *Core) markMaintenanceDue(v *wave) {
 	for n := range v.pending {
 		if m := c.machinesByName[n]; m != nil && c.workerOf(m) != nil {
 			c.workerOf(m).maintenanceDue = true
@@ -226,7 +226,7 @@
 	cost := 0
 	for _, r := range w.runs {
 		cost++
-		if r.task.of.Lasting {
+		if r.task.step.Lasting {
 			cost += 5
 		}
 	}
--- a/job/worker.go
+++ b/job/worker.go
@@ -113,14 +113,14 @@
 	quarantinedUntil time.Time
 	// isolatedUntil blocks starts while an isolated task has just started there.
 	isolatedUntil time.Time
-	// leaving reports whether its machine is to be moved or maintained.
-	leaving bool
+	// cordoned reports whether its machine is to be moved or maintained.
+	cordoned bool
 	// maintenanceDue reports whether a wave has yet to maintain its machine.
 	maintenanceDue bool
 	// idleSince is when the last run on it ended.
 	idleSince time.Time
-	// paceAt is when paces on it may be changed again.
-	paceAt time.Time
+	// nextPaceAt is when paces on it may be changed again.
+	nextPaceAt time.Time
 }
 
 // runID identifies a run. The members of a gang share their run's number.
@@ -142,9 +142,9 @@
 	}
 }
 
-// heardOfSince reports whether the owner learned of the worker, or had an answer from it, after
+// heardFromSince reports whether the owner learned of the worker, or had an answer from it, after
 // t. A machine list requested at t is older than that.
-func (w *worker) heardOfSince(t time.Time) bool {
+func (w *worker) heardFromSince(t time.Time) bool {
 	return t.Before(latest(w.knownSince, w.answeredAt))
 }
 
@@ -159,10 +159,10 @@
 	w.clockAt = now
 }
 
-// lease extends the lease now and returns its new end on the worker's clock. After a while
+// extendLease extends the lease now and returns its new end on the worker's clock. After a while
 // without an answer the lease is shorter by what a slow clock may have lost, by up to half:
 // the next owner waits for leaseFor on such a clock.
-func (w *worker) lease(now time.Time) platform.WorkerClock {
+func (w *worker) extendLease(now time.Time) platform.WorkerClock {
 	elapsed := now.Sub(w.clockAt)
 	lost := time.Duration(float64(elapsed) * maxClockDrift)
 	d := leaseFor - min(max(0, lost-leaseDriftAllowance), leaseFor/2)
@@ -227,18 +227,18 @@
 // acceptsStarts reports whether the worker may get starts now. It may not while it has orphans,
 // as the room that they take is not always known.
 func (w *worker) acceptsStarts(now time.Time) bool {
-	return w.listed && !w.stale && !w.unverified && !w.tainted && w.contacted && w.inRoster && !w.Draining && !w.leaving && w.missedPolls == 0 && len(w.orphans) == 0 &&
+	return w.listed && !w.stale && !w.unverified && !w.tainted && w.contacted && w.inRoster && !w.Draining && !w.cordoned && w.missedPolls == 0 && len(w.orphans) == 0 &&
 		!now.Before(w.noRoomUntil) && !now.Before(w.quarantinedUntil)
 }
 
 func (w *worker) attach(r *run) {
 	w.runs[r.id()] = r
-	w.charge(r.task.of.Step, 1)
+	w.charge(r.task.step.Step, 1)
 }
 
 func (w *worker) detach(r *run) {
 	delete(w.runs, r.id())
-	w.charge(r.task.of.Step, -1)
+	w.charge(r.task.step.Step, -1)
 }
 
 func (w *worker) charge(s *platform.Step, sign int64) {
@@ -255,8 +255,8 @@
 	return r
 }
 
-// find returns the run of the task with the number, or nil.
-func (w *worker) find(task taskKey, number int64) *run {
+// findRun returns the run of the task with the number, or nil.
+func (w *worker) findRun(task taskKey, number int64) *run {
 	return w.runs[runID{task: task, number: number}]
 }
 
--- a/job/world_crash_test.go
+++ b/job/world_crash_test.go
@@ -39,13 +39,13 @@
 // Limits for a task that crashes its workers. It may fail its job from crashesToGiveUp crashes
 // on. After crashesBorne crashes it may start startsAfterBorne more times.
 const (
-	crashesToGiveUp  = 2
-	crashesBorne     = 3
-	startsAfterBorne = 2
+	crashesToFail    = 2
+	crashesTolerated = 3
+	startsTolerated  = 2
 )
 
-// crashedLate is the time from the start of a crashing task to the crash of its worker.
-const crashedLate = 10 * time.Millisecond
+// crashDelay is the time from the start of a crashing task to the crash of its worker.
+const crashDelay = 10 * time.Millisecond
 
 // noteStart checks that a task which crashes its workers is not started too often. Each owner
 // that ends before it has stored its counts may cost one more start.
@@ -57,13 +57,13 @@
 	if _, started := w.tenuresAt[name]; !started {
 		w.tenuresAt[name] = w.tenures
 	}
-	if w.crashesUnder[name] >= crashesBorne {
+	if w.crashesUnder[name] >= crashesTolerated {
 		w.startsAfter[name]++
 	}
-	if lost := w.tenures - w.tenuresAt[name]; w.startsAfter[name] > startsAfterBorne+lost {
-		w.t.Fatalf("%s starts for the %d. time after %d crashes, under %d owners", name, w.startsAfter[name], crashesBorne, lost+1)
+	if lost := w.tenures - w.tenuresAt[name]; w.startsAfter[name] > startsTolerated+lost {
+		w.t.Fatalf("%s starts for the %d. time after %d crashes, under %d owners", name, w.startsAfter[name], crashesTolerated, lost+1)
 	}
-	w.after(crashedLate, func() {
+	w.after(crashDelay, func() {
 		if v.alive {
 			w.crashWorker(v)
 		}
@@ -119,7 +119,7 @@
 		}
 		for x := range s.Count {
 			name := taskKey{id: id, step: i, index: x}.String()
-			if w.crashesUnder[name] >= crashesToGiveUp || w.unconfirmedCrashes[name] >= crashLimitUnconfirmed {
+			if w.crashesUnder[name] >= crashesToFail || w.unconfirmedCrashes[name] >= crashLimitUnconfirmed {
 				return
 			}
 		}
--- a/job/fuzz_test.go
+++ b/job/world_faults_test.go
@@ -51,7 +51,7 @@
 // checkNotDone checks that no successful end of the task was acknowledged.
 func (w *world) checkNotDone(task string) {
 	for _, e := range w.doneRuns[task] {
-		if e.acknowledged && !e.lapsed {
+		if e.acknowledged && !e.leaseExpired {
 			w.t.Fatalf("%s starts after the successful end of its run %d was acknowledged", task, e.row.Run)
 		}
 	}
@@ -61,7 +61,7 @@
 func (w *world) checkOrder(k taskKey, rec Record) {
 	for _, a := range rec.Steps[k.step].After {
 		for x := range rec.Steps[a].Count {
-			b := taskKey{id: k.id, k: k.k, step: a, index: x}.String()
+			b := taskKey{id: k.id, instance: k.instance, step: a, index: x}.String()
 			if len(w.doneRuns[b]) == 0 {
 				w.t.Fatalf("%s starts before %s is done", k, b)
 			}
@@ -73,7 +73,7 @@
 // may not have been started again since that end.
 func (w *world) acknowledge(e *worldEnd) {
 	e.acknowledged = true
-	if e.row.How != platform.EndDone || e.lapsed {
+	if e.row.How != platform.EndDone || e.leaseExpired {
 		return
 	}
 	for _, o := range w.restarted[e.row.Task] {
@@ -130,7 +130,7 @@
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: w.spec, Steps: steps}, w.now)
 	rec.Attempts = 3
 	rec.Team = w.team()
-	a := JobAccepted{ID: id, Record: rec, Created: w.store.revision}
+	a := Accepted{ID: id, Record: rec, Created: w.store.revision}
 	w.jobs[id] = rec
 	w.store.records[id] = a
 	if rapid.IntRange(0, 4).Draw(w.t, "fails") == 0 {
--- a/job/world_lasting_test.go
+++ b/job/world_lasting_test.go
@@ -38,43 +38,43 @@
 	// stalledUntil is until when tasks on a worker make no progress.
 	stalledUntil map[*worldWorker]time.Time
 	// log has the owners' latest log lines, without those on moves of machines.
-	log []worldNote
+	log []worldLogLine
 }
 
-// worldNote is a log line of an owner.
-type worldNote struct {
+// worldLogLine is a log line of an owner.
+type worldLogLine struct {
 	at    time.Time
 	fence platform.Fence
 	LogLine
 }
 
 // String returns the log line as text.
-func (n worldNote) String() string {
+func (n worldLogLine) String() string {
 	return fmt.Sprintf("%s owner %d: %s %s run %d on %s: %s %v", n.at.Format("05.000"), n.fence, n.What, n.Task, n.Run, n.Worker, n.Why, n.Fields)
 }
 
-// maxNotes is how many log lines are kept to be printed with a failure.
-const maxNotes = 400
+// maxLogLines is how many log lines are kept to be printed with a failure.
+const maxLogLines = 400
 
-// keepNote keeps a log line of an owner.
-func (w *world) keepNote(o *worldOwner, n LogLine) {
+// keepLogLine keeps a log line of an owner.
+func (w *world) keepLogLine(o *worldOwner, n LogLine) {
 	if n.What == "move" || n.What == "machine ordered" || n.What == "pool" {
 		return
 	}
-	w.log = append(w.log, worldNote{at: w.now, fence: o.fence, LogLine: n})
-	if len(w.log) > maxNotes {
+	w.log = append(w.log, worldLogLine{at: w.now, fence: o.fence, LogLine: n})
+	if len(w.log) > maxLogLines {
 		w.log = w.log[1:]
 	}
 }
 
-// notesOn returns the kept log lines on the step or the worker.
-func (w *world) notesOn(k taskKey, v *worldWorker) string {
-	step := fmt.Sprintf("%s.%d.%d.", k.id, k.k, k.step)
-	return w.notes(func(n worldNote) bool { return strings.Contains(n.Task+" "+n.Why, step) || n.Worker == v.ID })
+// logLinesOn returns the kept log lines on the step or the worker.
+func (w *world) logLinesOn(k taskKey, v *worldWorker) string {
+	step := fmt.Sprintf("%s.%d.%d.", k.id, k.instance, k.step)
+	return w.logLines(func(n worldLogLine) bool { return strings.Contains(n.Task+" "+n.Why, step) || n.Worker == v.ID })
 }
 
-// notes returns the kept log lines for which the function returns true.
-func (w *world) notes(wanted func(worldNote) bool) string {
+// logLines returns the kept log lines for which the function returns true.
+func (w *world) logLines(wanted func(worldLogLine) bool) string {
 	var b strings.Builder
 	for _, n := range w.log {
 		if wanted(n) {
@@ -84,8 +84,8 @@
 	return b.String()
 }
 
-// anyNote returns true for every log line.
-func anyNote(worldNote) bool { return true }
+// anyLogLine returns true for every log line.
+func anyLogLine(worldLogLine) bool { return true }
 
 // worldUnavailable is a lasting task that is not ready.
 type worldUnavailable struct {
@@ -100,15 +100,15 @@
 
 // warmUpPercent returns the progress of a lasting run's warm-up. At 100 the run is ready.
 func (r *worldRun) warmUpPercent(now time.Time) int {
-	left := r.atWorkAt.Sub(now)
+	left := r.readyAt.Sub(now)
 	if left <= 0 {
 		return 100
 	}
 	return int(max(0, 100*(r.warmUpFor-left)/max(1, r.warmUpFor)))
 }
 
-// atWork reports whether the run is lasting and ready.
-func (r *worldRun) atWork(now time.Time) bool {
+// ready reports whether the run is lasting and ready.
+func (r *worldRun) ready(now time.Time) bool {
 	return r.step.Lasting && r.how != platform.EndStopped && r.warmUpPercent(now) == 100
 }
 
@@ -120,7 +120,7 @@
 	if r.step.MaxUnavailable > 0 {
 		r.warmUpFor = time.Duration(rapid.IntRange(minWarmUpMS, maxWarmUpMS).Draw(w.t, "warm_ms")) * time.Millisecond
 	}
-	r.atWorkAt = latest(w.now, w.stalledUntil[v]).Add(r.warmUpFor)
+	r.readyAt = latest(w.now, w.stalledUntil[v]).Add(r.warmUpFor)
 }
 
 // stall has the tasks on some worker make no progress for a while.
@@ -129,8 +129,8 @@
 	d := time.Duration(rapid.IntRange(1, 6).Draw(w.t, "stalled_s")) * time.Second
 	w.stalledUntil[v] = w.now.Add(d)
 	for _, r := range v.runs {
-		if r.step.Lasting && !r.atWork(w.now) {
-			r.atWorkAt = r.atWorkAt.Add(d)
+		if r.step.Lasting && !r.ready(w.now) {
+			r.readyAt = r.readyAt.Add(d)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	ready := map[string]bool{}
 	for _, v := range w.workers {
 		for _, r := range v.runs {
-			if v.alive && r.atWork(w.now) {
+			if v.alive && r.ready(w.now) {
 				ready[r.task] = true
 			}
 		}
@@ -169,7 +169,7 @@
 // step than MaxUnavailable may be unavailable. Exempt are workers that drain, orders that arrive
 // late, and cancelled jobs.
 func (w *world) endedByOrder(v *worldWorker, r *worldRun, late bool) {
-	if !r.atWork(w.now) || r.step.MaxUnavailable == 0 {
+	if !r.ready(w.now) || r.step.MaxUnavailable == 0 {
 		return
 	}
 	k, _ := parseTaskKey(r.task)
@@ -195,7 +195,7 @@
 	}
 	if len(others) >= r.step.MaxUnavailable {
 		w.t.Fatalf("run %d of %s on %s, started %s ago, is ended while ready, with %d others of its step unavailable of at most %d: %s\n%s",
-			r.number, r.task, v.ID, w.now.Sub(r.began), len(others), r.step.MaxUnavailable, strings.Join(others, "; "), w.notesOn(k, v))
+			r.number, r.task, v.ID, w.now.Sub(r.began), len(others), r.step.MaxUnavailable, strings.Join(others, "; "), w.logLinesOn(k, v))
 	}
 }
 
@@ -249,7 +249,7 @@
 func (w *world) inheritWaves(e *Inherited) {
 	e.Waves = w.waves
 	e.WavesBegan, e.WavesEnded = map[int64][]string{}, map[int64]bool{}
-	for k, b := range w.store.own {
+	for k, b := range w.store.ownerKeys {
 		if !strings.HasPrefix(k, wavePrefix) {
 			continue
 		}
@@ -271,7 +271,7 @@
 		if !v.alive || v.Host != a.Machine {
 			continue
 		}
-		if v.Draining || v.notStarted {
+		if v.Draining || v.restarting {
 			e.Verdict = platform.OrderBusy
 			return e
 		}
@@ -301,7 +301,7 @@
 // drain has some worker announce that it drains, and removes its host four seconds later.
 func (w *world) drain() {
 	v := w.pickWorker()
-	if v.Draining || v.unlisted || v.notStarted {
+	if v.Draining || v.unlisted || v.restarting {
 		return
 	}
 	v.Draining = true
@@ -376,7 +376,7 @@
 		})
 		w.heal()
 		if l := w.stillUnavailable(); len(l) > 0 {
-			t.Fatalf("tasks that never become ready: %v\n%s", l, w.notes(anyNote))
+			t.Fatalf("tasks that never become ready: %v\n%s", l, w.logLines(anyLogLine))
 		}
 	})
 }
--- a/job/world_link_test.go
+++ b/job/world_link_test.go
@@ -22,9 +22,9 @@
 	// spec is the specification of each job's tasks, which is sent with each start.
 	spec       string
 	linkFreeAt map[*worldOwner]time.Time
-	// lapsed counts the runs that ended as their worker's lease expired.
-	lapsed   int
-	renewals renewals
+	// expiredRuns counts the runs that ended as their worker's lease expired.
+	expiredRuns int
+	renewals    renewals
 }
 
 // renewals are the renewals of the newest owner's lease.
@@ -33,8 +33,8 @@
 	// renewedAt is when the last successful one was sent, longest how long the slowest took.
 	renewedAt time.Time
 	longest   time.Duration
-	// expires counts the renewals that failed after the lease had expired.
-	expires int
+	// expirations counts the renewals that failed after the lease had expired.
+	expirations int
 }
 
 func newWorldLinks() worldLinks {
@@ -75,7 +75,7 @@
 	w.renewals.longest = max(w.renewals.longest, took)
 	if took > renewTimeout {
 		if sent.Sub(w.renewals.renewedAt) > ownerTTL {
-			w.renewals.expires++
+			w.renewals.expirations++
 		}
 		return
 	}
@@ -114,7 +114,7 @@
 		if told > 0 {
 			require.Less(t, w.renewals.longest, renewTimeout)
 		}
-		require.Zero(t, w.renewals.expires)
-		require.Zero(t, w.lapsed, "runs whose lease expired")
+		require.Zero(t, w.renewals.expirations)
+		require.Zero(t, w.expiredRuns, "runs whose lease expired")
 	})
 }
--- a/job/world_machines_test.go
+++ b/job/world_machines_test.go
@@ -69,7 +69,7 @@
 	w.store.revision++
 	s := platform.Step{Count: 1, Lasting: true, Resources: platform.Resources{MilliCores: 1000}}
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{s}}, w.now)
-	a := JobAccepted{ID: id, Record: rec, Created: w.store.revision}
+	a := Accepted{ID: id, Record: rec, Created: w.store.revision}
 	w.jobs[id] = rec
 	w.store.records[id] = a
 	w.tell(w.owners[len(w.owners)-1], a)
@@ -101,9 +101,9 @@
 		w.removeHost(v)
 		w.advance(time.Duration(rapid.IntRange(0, 4000).Draw(t, "killed_after_ms")) * time.Millisecond)
 		w.replaceOwner(func(o *worldOwner) { o.dead = true })
-		w.advance(lastingTaskAgainWithin)
+		w.advance(lastingRestartWithin)
 		if w.runsOn(task) == nil {
-			t.Fatalf("%s does not run %s after the takeover", task, lastingTaskAgainWithin)
+			t.Fatalf("%s does not run %s after the takeover", task, lastingRestartWithin)
 		}
 	})
 }
--- a/job/world_again_test.go
+++ b/job/world_restart_test.go
@@ -83,8 +83,8 @@
 	w.noteCrash(v)
 	w.incarnations++
 	next := w.addIncarnation(v.Host, w.nextID(v.ID.Name()))
-	next.partitioned, next.notStarted = v.partitioned, true
-	w.after(downFor, func() { next.notStarted, next.born = false, w.now })
+	next.partitioned, next.restarting = v.partitioned, true
+	w.after(downFor, func() { next.restarting, next.born = false, w.now })
 	before := w.recordOf(v)
 	w.staleRecords[v.ID.Name()] = before
 	recordAfter := downFor + time.Duration(rapid.IntRange(0, 1500).Draw(w.t, "recorded_after_ms"))*time.Millisecond
--- a/job/world_teams_test.go
+++ b/job/world_teams_test.go
@@ -111,7 +111,7 @@
 			fmt.Fprintf(&beside, "%s run %d since %s takes %d\n", r.task, r.number, r.began.Format("05.000"), r.step.MilliCores)
 		}
 		w.t.Fatalf("%s run %d brings its team at %s to %d, above its cap of %d, beside\n%s%s",
-			o.Task, o.Run, w.now.Format("05.000"), used, highest, &beside, w.notes(anyNote))
+			o.Task, o.Run, w.now.Format("05.000"), used, highest, &beside, w.logLines(anyLogLine))
 	}
 }
 
--- a/job/world_test.go
+++ b/job/world_test.go
@@ -50,12 +50,12 @@
 }
 
 type worldStore struct {
-	revision platform.Revision
-	fence    platform.Fence
-	records  map[ID]JobAccepted
-	progress map[ID]Progress
-	cancels  map[ID]bool
-	own      ownerStore
+	revision  platform.Revision
+	fence     platform.Fence
+	records   map[ID]Accepted
+	progress  map[ID]Progress
+	cancels   map[ID]bool
+	ownerKeys ownerStore
 }
 
 type worldEnd struct {
@@ -63,9 +63,9 @@
 	at  *worldWorker
 	// acknowledged says that the owner acknowledged the end, so that the worker forgot it.
 	acknowledged bool
-	// lapsed says that the worker's lease expired before the end was acknowledged. Such an end
+	// leaseExpired says that the worker's lease expired before the end was acknowledged. Such an end
 	// does not count.
-	lapsed bool
+	leaseExpired bool
 }
 
 type worldRun struct {
@@ -75,8 +75,8 @@
 	endsAt time.Time
 	how    platform.End
 	step   platform.Step
-	// atWorkAt is when a lasting run is ready, warmUpFor how long that takes from its start.
-	atWorkAt  time.Time
+	// readyAt is when a lasting run is ready, warmUpFor how long that takes from its start.
+	readyAt   time.Time
 	warmUpFor time.Duration
 }
 
@@ -84,8 +84,8 @@
 	platform.Worker
 	alive       bool
 	partitioned bool
-	// notStarted says that it is down between a crash and its next start.
-	notStarted bool
+	// restarting says that it is down between a crash and its next start.
+	restarting bool
 	// unlisted says that the store keeps no record of it.
 	unlisted bool
 	// unreachableBy are the owners that cannot reach it.
@@ -131,7 +131,7 @@
 		doneRuns: map[string][]*worldEnd{}, restarted: map[string][]*worldEnd{}, failures: map[string]int{}, worldCancels: newWorldCancels(), worldLinks: newWorldLinks(), worldCrashes: newWorldCrashes(), worldTeams: newWorldTeams(), worldRestarts: newWorldRestarts(), worldLasting: newWorldLasting(),
 	}
 	w.tellsIncarnation = withIncarnations
-	w.store = worldStore{revision: 10, records: map[ID]JobAccepted{}, progress: map[ID]Progress{}, cancels: map[ID]bool{}, own: ownerStore{}}
+	w.store = worldStore{revision: 10, records: map[ID]Accepted{}, progress: map[ID]Progress{}, cancels: map[ID]bool{}, ownerKeys: ownerStore{}}
 	for i := range 3 {
 		w.addWorker(fmt.Sprint("host-", i))
 		w.hosts = i
@@ -167,7 +167,7 @@
 	o := &worldOwner{fence: w.store.fence, core: NewCore(w.store.fence, "entry", Size{}, w.now), renewedAt: w.now}
 	w.owners = append(w.owners, o)
 	w.noteListed(o)
-	r := w.store.own.roster()
+	r := w.store.ownerKeys.roster()
 	e := Inherited{Config: w.config(), Progress: map[ID]Progress{}, Roster: r}
 	for _, a := range w.store.records {
 		e.Jobs = append(e.Jobs, a)
@@ -248,7 +248,7 @@
 // lost.
 func (w *world) drawDelivery(o *worldOwner, v *worldWorker) (there, back time.Duration, lost bool) {
 	there = time.Duration((1+w.incarnations%3)*w.slowBy) * time.Millisecond
-	if v.partitioned || !v.alive || v.notStarted || v.unreachableBy[o] {
+	if v.partitioned || !v.alive || v.restarting || v.unreachableBy[o] {
 		return there, 0, true
 	}
 	if w.lossy && rapid.IntRange(0, 5).Draw(w.t, "lost") == 0 {
@@ -266,7 +266,7 @@
 func (w *world) perform(o *worldOwner, a Action) {
 	switch a := a.(type) {
 	case LogLine:
-		w.keepNote(o, a)
+		w.keepLogLine(o, a)
 	case StepDown:
 		w.steppedDown(o)
 	case WakeAt:
@@ -311,11 +311,11 @@
 	unanswered := func() { w.tell(o, failed(common.ErrUnknown)) }
 	w.after(there, func() {
 		v := w.recipient(v, a)
-		if (!v.alive || v.notStarted) && !lost {
+		if (!v.alive || v.restarting) && !lost {
 			// The worker ended while the order was in flight.
 			w.after(timeout, unanswered)
 		}
-		if !v.alive || v.notStarted || ((v.partitioned || v.unreachableBy[o]) && lost) {
+		if !v.alive || v.restarting || ((v.partitioned || v.unreachableBy[o]) && lost) {
 			return
 		}
 		do(v, there > timeout, func(e Event) {
@@ -341,7 +341,7 @@
 		return
 	}
 	w.store.revision++
-	w.store.own.take(a)
+	w.store.ownerKeys.apply(a)
 	for _, p := range a.Puts {
 		if !strings.HasPrefix(p.Key, progressPrefix) {
 			continue
@@ -371,7 +371,7 @@
 	}
 	if v.until > 0 && v.clock(w.now) > v.until {
 		for _, e := range v.ended {
-			e.lapsed = true
+			e.leaseExpired = true
 		}
 	}
 	for n, r := range v.runs {
@@ -379,7 +379,7 @@
 		switch {
 		case v.until > 0 && v.clock(w.now) > v.until:
 			how = platform.EndExpired
-			w.lapsed++
+			w.expiredRuns++
 		case w.now.Before(r.endsAt) || (r.step.Lasting && r.how == platform.EndDone):
 			continue
 		}
--- a/job/write_queue.go
+++ b/job/write_queue.go
@@ -41,10 +41,10 @@
 // storeWrite is one write, kept until the store has answered it.
 type storeWrite struct {
 	states map[*job]writtenState
-	// seen holds the number of the last end of each worker that the write covers.
-	seen    map[*worker]int64
-	puts    []platform.Put
-	deletes []string
+	// lastEnds holds the number of the last end of each worker that the write covers.
+	lastEnds map[*worker]int64
+	puts     []platform.Put
+	deletes  []string
 	// changes tells which shards of the roster are in the write, workers and machines
 	// which workers and ordered machines they name.
 	changes  rosterChanges
@@ -55,7 +55,7 @@
 // writtenState is the state of a job as a write holds it.
 type writtenState struct {
 	platform.State
-	crashChanges int
+	crashVersion int
 }
 
 func newWriteQueue() writeQueue {
@@ -104,7 +104,7 @@
 		c.scheduleWake(c.writeDueAt)
 		return
 	}
-	k := &storeWrite{states: map[*job]writtenState{}, seen: map[*worker]int64{}}
+	k := &storeWrite{states: map[*job]writtenState{}, lastEnds: map[*worker]int64{}}
 	c.addRoster(k)
 	for len(c.dirtyJobs) > 0 && k.room() >= entriesPerJob {
 		c.dirtyJobs[0].dirty = false
@@ -120,7 +120,7 @@
 		// A write that leaves out dirty jobs does not cover all ends that were seen.
 		for _, w := range c.workers {
 			if w.lastEndSeen > w.lastEndStored {
-				k.seen[w] = w.lastEndSeen
+				k.lastEnds[w] = w.lastEndSeen
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 		c.emit(LogLine{What: "progress not encoded", Job: j.id, Why: err.Error()})
 		return
 	}
-	k.states[j] = writtenState{State: j.state, crashChanges: j.crashVersion}
+	k.states[j] = writtenState{State: j.state, crashVersion: j.crashVersion}
 	k.puts = append(k.puts, platform.Put{Key: progressKey(j.id), Value: b})
 	if j.state.Final() {
 		k.deletes = append(k.deletes, recordKey(j.id), cancelKey(j.id))
@@ -194,12 +194,12 @@
 	c.sendRecorded(k.machines, e.Revision)
 	for j, s := range k.states {
 		j.storedState = s.State
-		if j.storedCrashVersion != s.crashChanges {
-			j.storedCrashVersion = s.crashChanges
+		if j.storedCrashVersion != s.crashVersion {
+			j.storedCrashVersion = s.crashVersion
 			c.replan(j.queue.Service)
 		}
 	}
-	for w, n := range k.seen {
+	for w, n := range k.lastEnds {
 		w.markStored(n)
 		c.reconcileWorker(w)
 	}
--- a/request/forward.go
+++ b/request/forward.go
@@ -17,8 +17,8 @@
 const (
 	// dialTimeout bounds the setup of a connection.
 	dialTimeout = time.Second
-	// idleTimeout closes a connection that nothing uses.
-	idleTimeout = 30 * time.Second
+	// targetIdleTimeout closes a connection that nothing uses.
+	targetIdleTimeout = 30 * time.Second
 	// detachedRunTimeout is how long a run may hold its slot after its caller has gone. A
 	// run that hangs delays the reboot of its host; this is a tenth of the five minutes
 	// that a reboot takes.
@@ -89,7 +89,7 @@
 	t := &http.Transport{
 		DialContext:         o.Dial,
 		MaxIdleConnsPerHost: maxIdle,
-		IdleConnTimeout:     idleTimeout,
+		IdleConnTimeout:     targetIdleTimeout,
 		DisableCompression:  true,
 	}
 	s := t.Clone()
--- a/request/paused_test.go
+++ b/request/paused_test.go
@@ -72,12 +72,12 @@
 // then on.
 type returnedHost struct {
 	Hosts
-	looks atomic.Int64
+	lookups atomic.Int64
 }
 
 // Address implements Hosts.
 func (b *returnedHost) Address(name string) (netip.AddrPort, bool) {
-	if b.looks.Add(1) == 1 {
+	if b.lookups.Add(1) == 1 {
 		return netip.AddrPort{}, false
 	}
 	return b.Hosts.Address(name)
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -404,11 +404,11 @@
 func TestSharesWaitForLateMembershipUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*SlotShares{}}
-		m.all["a"] = NewSlotShares(m.now.Add(-answerTimeout-SlotShareDelay), "a")
+		m.all["a"] = NewSlotShares(m.now.Add(-memberAnswerTimeout-SlotShareDelay), "a")
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			m.change(t)
 			m.awaitingAnswers = true
-			m.learn(t, answerTimeout/5)
+			m.learn(t, memberAnswerTimeout/5)
 			m.awaitingAnswers = false
 			m.now = m.now.Add(SlotShareDelay)
 			m.learn(t, 0)
@@ -430,7 +430,7 @@
 		}
 	}
 	require.True(t, s.Usable())
-	require.LessOrEqual(t, now.Sub(time.Unix(1e9, 0)), answerTimeout+SlotShareDelay+time.Second)
+	require.LessOrEqual(t, now.Sub(time.Unix(1e9, 0)), memberAnswerTimeout+SlotShareDelay+time.Second)
 }
 
 // TestMoreMembersGiveNoLargerShare checks that an entry host which still counts others
--- a/request/share.go
+++ b/request/share.go
@@ -30,10 +30,10 @@
 // another process has gone.
 const SlotShareDelay = 2 * time.Second
 
-// answerTimeout is how long a process that has just started waits for answers of all live
+// memberAnswerTimeout is how long a process that has just started waits for answers of all live
 // members before it treats one that gives none as silent: twice the time after which a
 // silent member is declared dead.
-const answerTimeout = 8 * time.Second
+const memberAnswerTimeout = 8 * time.Second
 
 // SlotShares computes how many slots of each target one process may use while members
 // come and go.
@@ -49,7 +49,7 @@
 
 // NewSlotShares returns the shares of a process that starts now.
 func NewSlotShares(now time.Time, self string) *SlotShares {
-	return &SlotShares{self: self, usableAt: now.Add(SlotShareDelay), answersBy: now.Add(answerTimeout)}
+	return &SlotShares{self: self, usableAt: now.Add(SlotShareDelay), answersBy: now.Add(memberAnswerTimeout)}
 }
 
 // ObserveAnswers records whether every live member has answered the process since its
--- a/request/verdict_test.go
+++ b/request/verdict_test.go
@@ -27,14 +27,14 @@
 // and claims that fail in every way. It counts the runs of each id and records the
 // verdicts that its callers got.
 type verdictModel struct {
-	t        *rapid.T
-	servers  []*Server
-	claimed  map[uuid.UUID]bool
-	runs     map[string]int
-	verdicts map[string][]common.Verdict
-	once     map[string]bool
-	ids      []string
-	depth    int
+	t          *rapid.T
+	servers    []*Server
+	claimed    map[uuid.UUID]bool
+	runs       map[string]int
+	verdicts   map[string][]common.Verdict
+	atMostOnce map[string]bool
+	ids        []string
+	depth      int
 	// peerDead says that the first entry host considers the second dead.
 	peerDead bool
 	mu       sync.Mutex
@@ -48,7 +48,7 @@
 func newVerdictModel(t *rapid.T) *verdictModel {
 	m := &verdictModel{
 		t: t, claimed: map[uuid.UUID]bool{}, runs: map[string]int{},
-		verdicts: map[string][]common.Verdict{}, once: map[string]bool{}, removed: map[string]bool{},
+		verdicts: map[string][]common.Verdict{}, atMostOnce: map[string]bool{}, removed: map[string]bool{},
 	}
 	for n := range 2 {
 		m.servers = append(m.servers, m.newServer(n))
@@ -193,14 +193,14 @@
 	once := rapid.Bool().Draw(m.t, "once")
 	if len(m.ids) > 0 && rapid.Bool().Draw(m.t, "copy") {
 		id = rapid.SampledFrom(m.ids).Draw(m.t, "id")
-		once = m.once[id]
+		once = m.atMostOnce[id]
 	} else if once || rapid.Bool().Draw(m.t, "keyed") {
 		id = uuid.Must(uuid.NewV7()).String()
 		if once && rapid.Bool().Draw(m.t, "issued") {
 			id = rapid.SampledFrom(m.servers).Draw(m.t, "issuer").Issuer.New().String()
 		}
 		m.ids = append(m.ids, id)
-		m.once[id] = once
+		m.atMostOnce[id] = once
 	}
 	path := "/s/free"
 	if once {
@@ -233,7 +233,7 @@
 		id = got
 	}
 	if v, ok := ParseIssued(id); ok {
-		m.once[v.ID.String()] = true
+		m.atMostOnce[v.ID.String()] = true
 		id = v.ID.String()
 	}
 	if id != "" {
@@ -258,7 +258,7 @@
 				m.t.Fatalf("%s got the verdict not-run but ran", id)
 			}
 		}
-		if m.once[id] && m.runs[id] > 1 {
+		if m.atMostOnce[id] && m.runs[id] > 1 {
 			m.t.Fatalf("%s ran %d times", id, m.runs[id])
 		}
 	}
