--- a/admin/api.go
+++ b/admin/api.go
@@ -27,13 +27,13 @@
 	Generations map[string]int64 `json:"generations"`
 }
 
-// Applied answers the application of a document.
-type Applied struct {
+// ApplyResult answers the application of a document.
+type ApplyResult struct {
 	Generation int64 `json:"generation"`
 }
 
-// Configured is the configuration in force.
-type Configured struct {
+// ActiveConfig is the configuration in force.
+type ActiveConfig struct {
 	Generation int64            `json:"generation"`
 	Document   *config.Document `json:"document"`
 }
@@ -42,14 +42,14 @@
 type Pool struct {
 	Name string `json:"name"`
 	Team string `json:"team"`
-	fleet.Tally
+	fleet.PoolCapacity
 	Buffer int `json:"buffer"`
 }
 
 // Host is one host in the data centre of the entry host that was asked.
 type Host struct {
 	Name string `json:"name"`
-	fleet.Row
+	fleet.HostStatus
 	Rack    string `json:"rack"`
 	Live    bool   `json:"live"`
 	Leaving bool   `json:"leaving"`
@@ -75,7 +75,7 @@
 	Hosts       int      `json:"hosts"`
 	Done        int      `json:"done"`
 	Maintenance []string `json:"maintenance"`
-	Away        []string `json:"away"`
+	Overdue     []string `json:"away"`
 }
 
 // Change asks for a host to be held or a wave to be set to a state.
@@ -87,8 +87,8 @@
 // Failure is the body of every answer that is an error.
 type Failure struct {
 	Error string `json:"error"`
-	// Faults are what is wrong with a document.
-	Faults config.FaultsError `json:"faults,omitempty"`
+	// Violations are what is wrong with a document.
+	Violations config.ValidationError `json:"faults,omitempty"`
 	// Current and Changed tell what a stale base missed.
 	Current int64    `json:"current,omitempty"`
 	Changed []string `json:"changed,omitempty"`
--- a/admin/client.go
+++ b/admin/client.go
@@ -88,13 +88,13 @@
 }
 
 // Config returns the configuration in force.
-func (c *Client) Config(ctx context.Context) (Configured, error) {
-	return get[Configured](ctx, c, http.MethodGet, "/v1/config", nil)
+func (c *Client) Config(ctx context.Context) (ActiveConfig, error) {
+	return get[ActiveConfig](ctx, c, http.MethodGet, "/v1/config", nil)
 }
 
 // Apply puts a document in force as the generation after base.
-func (c *Client) Apply(ctx context.Context, document []byte, base int64) (Applied, error) {
-	return get[Applied](ctx, c, http.MethodPut, "/v1/config?base="+strconv.FormatInt(base, 10), document)
+func (c *Client) Apply(ctx context.Context, document []byte, base int64) (ApplyResult, error) {
+	return get[ApplyResult](ctx, c, http.MethodPut, "/v1/config?base="+strconv.FormatInt(base, 10), document)
 }
 
 // Preview returns what a document comes to in the entry host's data centre.
@@ -132,10 +132,10 @@
 }
 
 // SetWave sets a wave's state.
-func (c *Client) SetWave(ctx context.Context, name string, s config.WaveState) (Applied, error) {
+func (c *Client) SetWave(ctx context.Context, name string, s config.WaveState) (ApplyResult, error) {
 	b, err := json.Marshal(Change{State: s})
 	if err != nil {
-		return Applied{}, err
+		return ApplyResult{}, err
 	}
-	return get[Applied](ctx, c, http.MethodPost, "/v1/waves/"+url.PathEscape(name), b)
+	return get[ApplyResult](ctx, c, http.MethodPost, "/v1/waves/"+url.PathEscape(name), b)
 }
--- a/admin/documents.go
+++ b/admin/documents.go
@@ -14,34 +14,34 @@
 
 func (s *Server) getConfig(*http.Request) (any, error) {
 	c := s.Follower.Current()
-	return Configured{Generation: c.Head.Generation, Document: c.Document}, nil
+	return ActiveConfig{Generation: c.Head.Generation, Document: c.Document}, nil
 }
 
-func (s *Server) parse(r *http.Request) (*config.Document, error) {
+func (s *Server) parseDocument(r *http.Request) (*config.Document, error) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
 	}
 	d, err := config.Parse(b)
-	var faults config.FaultsError
+	var faults config.ValidationError
 	if err != nil && !errors.As(err, &faults) {
-		return nil, fmt.Errorf("%w: %w", errBad, err)
+		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	return d, err
 }
 
 // previewConfig returns what a document comes to here before it is applied.
 func (s *Server) previewConfig(r *http.Request) (any, error) {
-	d, err := s.parse(r)
+	d, err := s.parseDocument(r)
 	if err != nil {
 		return nil, err
 	}
 	c := s.View.Current()
-	return fleet.PreviewOf(s.input(c, d, s.Follower.Current().Head.Generation+1)), nil
+	return fleet.PreviewOf(s.planInput(c, d, s.Follower.Current().Head.Generation+1)), nil
 }
 
-// input is what a plan of this data centre is made from.
-func (s *Server) input(c *fleet.Snapshot, d *config.Document, gen int64) fleet.Input {
+// planInput is what a plan of this data centre is made from.
+func (s *Server) planInput(c *fleet.Snapshot, d *config.Document, gen int64) fleet.Input {
 	return fleet.Input{
 		Now: s.now(), Document: d, Generation: gen, DataCentre: s.DataCentre, Record: c.Record, List: c.List,
 	}
@@ -62,9 +62,9 @@
 func (s *Server) putConfig(r *http.Request) (any, error) {
 	base, err := strconv.ParseInt(r.URL.Query().Get("base"), 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("%w: base has to be the generation that the change was made from", errBad)
+		return nil, fmt.Errorf("%w: base has to be the generation that the change was made from", errBadRequest)
 	}
-	d, err := s.parse(r)
+	d, err := s.parseDocument(r)
 	if err != nil {
 		return nil, err
 	}
@@ -77,5 +77,5 @@
 		return nil, err
 	}
 	s.log.Infof("generation %d published", h.Generation)
-	return Applied{Generation: h.Generation}, nil
+	return ApplyResult{Generation: h.Generation}, nil
 }
--- a/admin/fleet.go
+++ b/admin/fleet.go
@@ -14,10 +14,10 @@
 func (s *Server) pools(*http.Request) (any, error) {
 	c := s.View.Current()
 	d := s.Follower.Current().Document
-	t := fleet.Tallies(s.now(), d, s.DataCentre, c.Record, c.List)
+	t := fleet.PoolCapacities(s.now(), d, s.DataCentre, c.Record, c.List)
 	l := []Pool{}
 	for _, p := range d.Pools {
-		l = append(l, Pool{Name: p.Name, Team: p.Team, Tally: *t[p.Name], Buffer: t[p.Name].Buffer()})
+		l = append(l, Pool{Name: p.Name, Team: p.Team, PoolCapacity: *t[p.Name], Buffer: t[p.Name].Buffer()})
 	}
 	return l, nil
 }
@@ -27,14 +27,14 @@
 	// What a plan made here would come to tells what each host waits for, also
 	// where another entry host is the coordinator.
 	g := s.Follower.Current()
-	blocked := fleet.Plan(s.input(c, g.Document, g.Head.Generation)).Blocked
+	blocked := fleet.Plan(s.planInput(c, g.Document, g.Head.Generation)).Blocked
 	l := []Host{}
 	for _, h := range c.List.Hosts {
 		w, ok := c.Record.Hosts[h.Name]
 		if !ok {
 			continue
 		}
-		l = append(l, Host{Name: h.Name, Row: w, Rack: h.Rack, Live: h.Live, Leaving: h.Leaving, Blocked: blocked[h.Name]})
+		l = append(l, Host{Name: h.Name, HostStatus: w, Rack: h.Rack, Live: h.Live, Leaving: h.Leaving, Blocked: blocked[h.Name]})
 	}
 	slices.SortFunc(l, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
 	return l, nil
@@ -45,7 +45,7 @@
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
-		return c, fmt.Errorf("%w: %w", errBad, err)
+		return c, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	return c, nil
 }
@@ -63,7 +63,7 @@
 	l := []Wave{}
 	for _, v := range s.Follower.Current().Document.Waves {
 		p := fleet.ProgressOf(v, c.Record)
-		l = append(l, Wave{Wave: v, Hosts: p.Hosts, Done: p.Done, Maintenance: p.Maintenance, Away: p.Away})
+		l = append(l, Wave{Wave: v, Hosts: p.Hosts, Done: p.Done, Maintenance: p.Maintenance, Overdue: p.Overdue})
 	}
 	return l, nil
 }
@@ -80,7 +80,7 @@
 	d.Waves = slices.Clone(d.Waves)
 	i := slices.IndexFunc(d.Waves, func(v config.Wave) bool { return v.Name == r.PathValue("name") })
 	if i < 0 {
-		return nil, fmt.Errorf("%w: there is no wave %q", errBad, r.PathValue("name"))
+		return nil, fmt.Errorf("%w: there is no wave %q", errBadRequest, r.PathValue("name"))
 	}
 	d.Waves[i].State = c.State
 	if err := d.Check(); err != nil {
--- a/admin/server.go
+++ b/admin/server.go
@@ -17,11 +17,11 @@
 	"amberway/peers"
 )
 
-// maxDocument is the largest document taken, in bytes.
-const maxDocument = 4 << 20
+// maxDocumentBytes is the largest document taken, in bytes.
+const maxDocumentBytes = 4 << 20
 
-// Parts are what a Server is made of.
-type Parts struct {
+// ServerOptions are what a Server is made of.
+type ServerOptions struct {
 	Name        string
 	DataCentre  string
 	Version     string
@@ -40,15 +40,15 @@
 
 // Server is the operators' interface.
 type Server struct {
-	Parts
+	ServerOptions
 	log common.Log
 	now func() time.Time
 	mux *http.ServeMux
 }
 
 // New returns the operators' interface.
-func New(d common.Deps, p Parts) *Server {
-	s := &Server{Parts: p, log: d.Log("admin"), now: d.Now, mux: http.NewServeMux()}
+func New(d common.Deps, p ServerOptions) *Server {
+	s := &Server{ServerOptions: p, log: d.Log("admin"), now: d.Now, mux: http.NewServeMux()}
 	s.mux.Handle("GET /metrics", p.Metrics)
 	s.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "alive") })
 	s.mux.HandleFunc("GET /readyz", s.readyz)
@@ -77,23 +77,23 @@
 // handle serves the pattern to those who show a token.
 func (s *Server) handle(pattern string, h handler) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-		if !s.allowed(r) {
+		if !s.authorized(r) {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			writeJSON(w, http.StatusUnauthorized, Failure{Error: "admin: a bearer token is needed"})
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxDocument)
+		r.Body = http.MaxBytesReader(w, r.Body, maxDocumentBytes)
 		v, err := h(r)
 		if err != nil {
-			s.fail(w, r, err)
+			s.writeError(w, r, err)
 			return
 		}
 		writeJSON(w, http.StatusOK, v)
 	})
 }
 
-// allowed compares the token with every one of the settings in constant time.
-func (s *Server) allowed(r *http.Request) bool {
+// authorized compares the token with every one of the settings in constant time.
+func (s *Server) authorized(r *http.Request) bool {
 	t, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return false
@@ -113,19 +113,19 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// errBad marks an error in what the operator sent.
-var errBad = errors.New("bad request")
+// errBadRequest marks an error in what the operator sent.
+var errBadRequest = errors.New("bad request")
 
-func (s *Server) fail(w http.ResponseWriter, r *http.Request, err error) {
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	f := Failure{Error: err.Error()}
 	status := http.StatusBadGateway
-	var faults config.FaultsError
+	var faults config.ValidationError
 	var stale *config.StaleError
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &faults):
 		status = http.StatusUnprocessableEntity
-		f.Faults = faults
+		f.Violations = faults
 	case errors.As(err, &stale):
 		status = http.StatusConflict
 		f.Current = stale.Current
@@ -134,7 +134,7 @@
 		status = http.StatusNotFound
 	case errors.As(err, &large):
 		status = http.StatusRequestEntityTooLarge
-	case errors.Is(err, errBad):
+	case errors.Is(err, errBadRequest):
 		status = http.StatusBadRequest
 	}
 	s.log.Warnf("%s %s failed: %v", r.Method, r.URL.Path, err)
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -27,38 +27,38 @@
 	"amberway/request"
 )
 
-// Daemon is one entry host.
-type Daemon struct {
-	settings   Settings
-	checked    checked
-	deps       common.Deps
-	log        common.Log
-	calls      platform.Calls
-	store      platform.Store
-	hosts      platform.Hosts
-	dialer     *peers.Dialer
-	members    *peers.Service
-	follower   *config.Follower
-	view       *fleet.View
-	coord      *fleet.Coordinator
-	dispatcher *request.Dispatcher
-	claimer    *request.Claimer
-	server     *request.Server
-	admin      *admin.Server
-	metrics    http.Handler
-	stopping   atomic.Bool
-	started    time.Time
-	pulse      *common.PauseDetector
-	sharesMu   sync.Mutex
-	shares     *request.SlotShares
+// requestsDaemon is one entry host.
+type requestsDaemon struct {
+	settings      Settings
+	parsed        parsedSettings
+	deps          common.Deps
+	log           common.Log
+	platformCalls platform.Calls
+	store         platform.Store
+	hosts         platform.Hosts
+	dialer        *peers.Dialer
+	members       *peers.Service
+	follower      *config.Follower
+	view          *fleet.View
+	coordinator   *fleet.Coordinator
+	dispatcher    *request.Dispatcher
+	claimer       *request.Claimer
+	server        *request.Server
+	admin         *admin.Server
+	metrics       http.Handler
+	stopping      atomic.Bool
+	startedAt     time.Time
+	pauseDetector *common.PauseDetector
+	sharesMu      sync.Mutex
+	shares        *request.SlotShares
 }
 
 // gcPercent makes the garbage collector keep less memory in reserve than its
 // default of 100, as an entry host is small.
 const gcPercent = 50
 
-// operatorsWithin bounds the wait for operators' calls once nothing else is in flight.
-const operatorsWithin = 10 * time.Second
+// operatorStopTimeout bounds the wait for operators' calls once nothing else is in flight.
+const operatorStopTimeout = 10 * time.Second
 
 // RunDaemon is amberwayd: it returns the exit code.
 func RunDaemon(args []string, out, errs io.Writer) int {
@@ -84,27 +84,27 @@
 	return ExitOK
 }
 
-func newLogger(s Settings, c checked, w io.Writer) *logrus.Logger {
+func newLogger(s Settings, c parsedSettings, w io.Writer) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(w)
 	l.SetLevel(c.level)
 	if s.LogFormat == "json" {
-		l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTime})
+		l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeFormat})
 		return l
 	}
-	l.SetFormatter(&logrus.TextFormatter{TimestampFormat: logTime})
+	l.SetFormatter(&logrus.TextFormatter{TimestampFormat: logTimeFormat})
 	return l
 }
 
-// logTime is the format of times in the log. Decisions of one owner are milliseconds apart.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat is the format of times in the log. Decisions of one owner are milliseconds apart.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // run serves until the context ends, and then stops without cutting off a
 // request in flight.
-func (d *Daemon) run(ctx context.Context) error {
+func (d *requestsDaemon) run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if err := d.joinServers(work); err != nil {
+	if err := d.initServers(work); err != nil {
 		return err
 	}
 	l, err := d.listen(work)
@@ -112,13 +112,13 @@
 		return err
 	}
 	g := peers.NewServer(d.settings.PeerToken)
-	d.offer(g)
+	d.registerPeerServices(g)
 	failed := make(chan error, 3)
 	go func() { failed <- l.callers.serve() }()
 	go func() { failed <- l.operators.serve() }()
 	go func() { failed <- g.Serve(l.peers) }()
-	d.work(work)
-	d.log.Infof("%s serves callers on %s", d.settings.Name, d.checked.callers)
+	d.startBackground(work)
+	d.log.Infof("%s serves callers on %s", d.settings.Name, d.parsed.callers)
 	select {
 	case err := <-failed:
 		return merry.Prepend(err, "daemon: listener")
@@ -128,39 +128,39 @@
 }
 
 type listeners struct {
-	callers   side
-	operators side
+	callers   gracefulServer
+	operators gracefulServer
 	peers     net.Listener
 }
 
-func (d *Daemon) listen(ctx context.Context) (listeners, error) {
+func (d *requestsDaemon) listen(ctx context.Context) (listeners, error) {
 	var l listeners
 	var err error
 	var c net.ListenConfig
-	if l.callers, err = listenSide(ctx, d.checked.callers, d.server, d.settings.keep(), request.IdleGrace); err != nil {
+	if l.callers, err = newGracefulServer(ctx, d.parsed.callers, d.server, d.settings.keepAliveTimeout(), request.IdleGrace); err != nil {
 		return l, merry.Prepend(err, "daemon: callers' listener")
 	}
-	if l.operators, err = listenSide(ctx, d.checked.admin, d.admin, d.settings.keep(), 0); err != nil {
+	if l.operators, err = newGracefulServer(ctx, d.parsed.admin, d.admin, d.settings.keepAliveTimeout(), 0); err != nil {
 		return l, merry.Prepend(err, "daemon: operators' listener")
 	}
-	if l.peers, err = c.Listen(ctx, "tcp", d.checked.peers.String()); err != nil {
+	if l.peers, err = c.Listen(ctx, "tcp", d.parsed.peers.String()); err != nil {
 		return l, merry.Prepend(err, "daemon: peers' listener")
 	}
 	return l, nil
 }
 
-// work starts what runs besides the listeners.
-func (d *Daemon) work(ctx context.Context) {
-	go d.pulse.Run(ctx, d.relearn)
+// startBackground starts what runs besides the listeners.
+func (d *requestsDaemon) startBackground(ctx context.Context) {
+	go d.pauseDetector.Run(ctx, d.reload)
 	go d.follower.Run(ctx)
 	go d.view.Run(ctx)
 	go d.members.Run(ctx)
-	go d.coord.Run(ctx)
-	go d.follow(ctx)
+	go d.coordinator.Run(ctx)
+	go d.syncLoop(ctx)
 }
 
 // ready reports whether the balancer may send requests here.
-func (d *Daemon) ready() bool {
+func (d *requestsDaemon) ready() bool {
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
 	return !d.stopping.Load() && d.shares.Usable() && d.follower.Current().Head.Generation > 0
@@ -168,7 +168,7 @@
 
 // stop takes no more requests once the balancer had time to learn of it, and
 // waits for those in flight.
-func (d *Daemon) stop(l listeners, g *grpc.Server) error {
+func (d *requestsDaemon) stop(l listeners, g *grpc.Server) error {
 	d.log.Infof("stopping")
 	d.stopping.Store(true)
 	l.callers.DisableKeepAlives()
@@ -176,16 +176,16 @@
 	within, cancel := context.WithTimeout(context.Background(), d.settings.StopWithin)
 	defer cancel()
 	common.Sleep(within, d.settings.StopDelay)
-	err := d.stopSide(within, l.callers, "callers'")
+	err := d.stopServer(within, l.callers, "callers'")
 	d.server.Drain(within)
 	leave, done := context.WithTimeout(context.Background(), 2*time.Second)
 	defer done()
 	d.members.Leave(leave)
 	g.Stop()
 	// An operator's call that is cut off is no failed stop.
-	ending, ended := context.WithTimeout(context.Background(), operatorsWithin)
+	ending, ended := context.WithTimeout(context.Background(), operatorStopTimeout)
 	defer ended()
-	_ = d.stopSide(ending, l.operators, "operators'")
+	_ = d.stopServer(ending, l.operators, "operators'")
 	d.dialer.Close()
 	if errors.Is(err, context.DeadlineExceeded) {
 		return merry.Prepend(err, "daemon: requests in flight were cut off")
@@ -194,8 +194,8 @@
 	return err
 }
 
-// stopSide stops one side and logs what its stop met.
-func (d *Daemon) stopSide(ctx context.Context, s side, whose string) error {
+// stopServer stops one side and logs what its stop met.
+func (d *requestsDaemon) stopServer(ctx context.Context, s gracefulServer, whose string) error {
 	r, err := s.stop(ctx)
 	d.log.Infof("%s listener closed: %v %v", whose, r.LogFields(), err)
 	return err
--- a/commands/routing.go
+++ b/commands/routing.go
@@ -12,8 +12,8 @@
 	"amberway/request"
 )
 
-// refresh hands configuration, fleet and membership on to the request path.
-func (d *Daemon) refresh() {
+// updateRouting hands configuration, fleet and membership on to the request path.
+func (d *requestsDaemon) updateRouting() {
 	if d.dispatcher == nil || d.view == nil || d.members == nil {
 		return
 	}
@@ -21,40 +21,40 @@
 	// one must not hand on the older view, or a draining host would get work.
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
-	d.followShares()
-	d.handOn()
+	d.syncShares()
+	d.updateDispatcher()
 }
 
-// meet asks the members that have not answered yet, so that all know of a process
+// contactMembers asks the members that have not answered yet, so that all know of a process
 // that starts before it uses slots.
-func (d *Daemon) meet(ctx context.Context) {
-	met := d.members.Met(d.settings.DataCentre)
+func (d *requestsDaemon) contactMembers(ctx context.Context) {
+	met := d.members.ContactedAll(d.settings.DataCentre)
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
 	d.shares.ObserveAnswers(d.deps.Now(), met)
 	if !met && !d.shares.Usable() {
-		go d.members.Relearn(ctx)
+		go d.members.PullTables(ctx)
 	}
 }
 
-// refreshShares does what refresh does where shares may have changed. A process
+// updateShares does what refresh does where shares may have changed. A process
 // is ready only once its slots are handed on, as both happen under the lock.
-func (d *Daemon) refreshShares() {
+func (d *requestsDaemon) updateShares() {
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
-	if d.followShares() {
-		d.handOn()
+	if d.syncShares() {
+		d.updateDispatcher()
 	}
 }
 
-// followShares reports whether shares may have changed. The caller holds
+// syncShares reports whether shares may have changed. The caller holds
 // sharesMu.
-func (d *Daemon) followShares() bool {
-	return d.shares.SetMembers(d.deps.Now(), d.members.Holding(d.settings.DataCentre))
+func (d *requestsDaemon) syncShares() bool {
+	return d.shares.SetMembers(d.deps.Now(), d.members.ShareHolders(d.settings.DataCentre))
 }
 
-// handOn hands what is known on to the request path. The caller holds sharesMu.
-func (d *Daemon) handOn() {
+// updateDispatcher hands what is known on to the request path. The caller holds sharesMu.
+func (d *requestsDaemon) updateDispatcher() {
 	c := d.follower.Current()
 	v := d.view.Current()
 	d.dispatcher.Update(func(s *request.Scheduler) {
@@ -98,46 +98,46 @@
 	return l
 }
 
-// followEvery is how often shares follow the membership, and how often a view
+// syncInterval is how often shares follow the membership, and how often a view
 // that is stale is learned from a peer.
-const followEvery = 500 * time.Millisecond
+const syncInterval = 500 * time.Millisecond
 
-// staleView is the age of the host list from which a peer is asked for it.
-const staleView = 3 * time.Second
+// maxViewAge is the age of the host list from which a peer is asked for it.
+const maxViewAge = 3 * time.Second
 
-// follow keeps the request path in step with the membership, and learns the
+// syncLoop keeps the request path in step with the membership, and learns the
 // fleet from a peer while the platform does not tell of it.
-func (d *Daemon) follow(ctx context.Context) {
+func (d *requestsDaemon) syncLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.meet(ctx)
-		d.refreshShares()
+		d.contactMembers(ctx)
+		d.updateShares()
 		d.dispatcher.StartReady()
-		if d.deps.Now().Sub(d.view.Current().ListedAt) > staleView {
-			d.learnFleet(ctx)
+		if d.deps.Now().Sub(d.view.Current().ListedAt) > maxViewAge {
+			d.fetchFleet(ctx)
 		}
-		common.Sleep(ctx, followEvery)
+		common.Sleep(ctx, syncInterval)
 	}
 }
 
-// relearn learns what may have changed in a pause of the process: the fleet, and
+// reload learns what may have changed in a pause of the process: the fleet, and
 // who the slots are shared with.
-func (d *Daemon) relearn(ctx context.Context) error {
+func (d *requestsDaemon) reload(ctx context.Context) error {
 	joined := make(chan struct{})
 	go func() {
 		defer close(joined)
-		d.members.Relearn(ctx)
+		d.members.PullTables(ctx)
 	}()
-	err := d.view.Relearn(ctx)
+	err := d.view.Reload(ctx)
 	<-joined
 	if err != nil {
 		return err
 	}
-	d.refresh()
+	d.updateRouting()
 	return nil
 }
 
-// learnFleet asks one peer of the same data centre for its view.
-func (d *Daemon) learnFleet(ctx context.Context) {
+// fetchFleet asks one peer of the same data centre for its view.
+func (d *requestsDaemon) fetchFleet(ctx context.Context) {
 	var l []peers.Member
 	for _, m := range d.members.Live() {
 		if m.DataCentre == d.settings.DataCentre && m.Name != d.settings.Name {
@@ -151,18 +151,18 @@
 	if err != nil {
 		return
 	}
-	_ = fleet.LearnView(ctx, c, d.view)
+	_ = fleet.FetchView(ctx, c, d.view)
 }
 
-// learnConfig fetches a newer configuration from a peer.
-func (d *Daemon) learnConfig(ctx context.Context, m peers.Member) {
+// fetchConfig fetches a newer configuration from a peer.
+func (d *requestsDaemon) fetchConfig(ctx context.Context, m peers.Member) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	c, err := d.dialer.Conn(m.Peer)
 	if err != nil {
 		return
 	}
-	if err := d.follower.Learn(ctx, config.NewPeerSource(c)); err != nil {
+	if err := d.follower.FetchFrom(ctx, config.NewPeerSource(c)); err != nil {
 		d.log.Warnf("configuration not learned from %s: %v", m.Name, err)
 	}
 }
--- a/commands/run_test.go
+++ b/commands/run_test.go
@@ -15,9 +15,9 @@
 	"amberway/config"
 )
 
-// TestRuns runs each command in testdata and compares its exit code and what it
+// TestCommands runs each command in testdata and compares its exit code and what it
 // prints. An expected text in dots has to be contained only.
-func TestRuns(t *testing.T) {
+func TestCommands(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -58,7 +58,7 @@
 	require.Equal(t, want, got)
 }
 
-func TestExamplesHaveNoFaults(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*.yaml")
 	require.NoError(t, err)
 	require.Len(t, files, 2)
@@ -71,10 +71,10 @@
 }
 
 // Decisions of one owner are milliseconds apart.
-func TestLogTellsTimesToTheMillisecond(t *testing.T) {
+func TestLogTimesHaveMilliseconds(t *testing.T) {
 	for _, format := range []string{"json", "text"} {
 		var b bytes.Buffer
-		newLogger(Settings{LogFormat: format}, checked{level: logrus.InfoLevel}, &b).Info("started")
+		newLogger(Settings{LogFormat: format}, parsedSettings{level: logrus.InfoLevel}, &b).Info("started")
 		require.Regexp(t, `T\d\d:\d\d:\d\d\.\d{3}`, b.String())
 	}
 }
--- a/commands/settings.go
+++ b/commands/settings.go
@@ -86,8 +86,8 @@
 	return fmt.Sprintf("%d bad settings:\n  %s", len(e), strings.Join(e, "\n  "))
 }
 
-// checked is what the settings come to.
-type checked struct {
+// parsedSettings is what the settings come to.
+type parsedSettings struct {
 	callers  netip.AddrPort
 	admin    netip.AddrPort
 	peers    netip.AddrPort
@@ -102,24 +102,24 @@
 }
 
 // check returns the settings as values, or a SettingsError with every fault.
-func (s *Settings) check() (checked, error) {
-	var c checked
+func (s *Settings) check() (parsedSettings, error) {
+	var c parsedSettings
 	var e SettingsError
 	fault := func(format string, a ...any) { e = append(e, fmt.Sprintf(format, a...)) }
-	s.checkNeeded(fault)
-	c.callers = address("--callers", s.Callers, fault)
-	c.admin = address("--admin", s.Admin, fault)
-	c.peers = address("--peers", s.Peers, fault)
+	s.checkRequired(fault)
+	c.callers = parseAddress("--callers", s.Callers, fault)
+	c.admin = parseAddress("--admin", s.Admin, fault)
+	c.peers = parseAddress("--peers", s.Peers, fault)
 	for _, v := range s.Seeds {
-		c.seeds = append(c.seeds, address("--seed", v, fault))
+		c.seeds = append(c.seeds, parseAddress("--seed", v, fault))
 	}
 	if s.Store != "" {
-		s.checkJobs(&c, fault)
+		s.checkJobSettings(&c, fault)
 	}
-	c.platform = location("--platform", s.Platform, fault)
+	c.platform = parseURL("--platform", s.Platform, fault)
 	c.hostList = c.platform
 	if s.HostList != "" {
-		c.hostList = location("--host-list", s.HostList, fault)
+		c.hostList = parseURL("--host-list", s.HostList, fault)
 	}
 	if s.LogFormat != "text" && s.LogFormat != "json" {
 		fault("--log-format: %q is neither text nor json", s.LogFormat)
@@ -138,8 +138,8 @@
 	return c, e
 }
 
-// checkNeeded names what is missing.
-func (s *Settings) checkNeeded(fault faultFunc) {
+// checkRequired names what is missing.
+func (s *Settings) checkRequired(fault reportFunc) {
 	needed := map[string]string{"--name": s.Name, "--data-centre": s.DataCentre}
 	if s.Store == "" {
 		needed["--platform"] = s.Platform
@@ -155,24 +155,24 @@
 	}
 }
 
-// leastConfigWithin is the least time in which a configuration can be in force. A
+// minConfigWithin is the least time in which a configuration can be in force. A
 // watch waits half of it: a shorter one is a call more than four times a second, and
 // the fifth that it has beyond its wait is too short for most answers.
-const leastConfigWithin = 500 * time.Millisecond
+const minConfigWithin = 500 * time.Millisecond
 
-// checkJobs reads the settings that only jobs need.
-func (s *Settings) checkJobs(c *checked, fault faultFunc) {
-	c.store = address("--store", s.Store, fault)
-	c.ready = address("--ready", s.Ready, fault)
-	c.machines = address("--machines", s.Machines, fault)
+// checkJobSettings reads the settings that only jobs need.
+func (s *Settings) checkJobSettings(c *parsedSettings, fault reportFunc) {
+	c.store = parseAddress("--store", s.Store, fault)
+	c.ready = parseAddress("--ready", s.Ready, fault)
+	c.machines = parseAddress("--machines", s.Machines, fault)
 	if s.Advice != "" {
-		c.advice = address("--advice", s.Advice, fault)
+		c.advice = parseAddress("--advice", s.Advice, fault)
 	}
 	if s.Platform != "" {
 		fault("--store and --platform exclude each other: a daemon serves jobs or requests")
 	}
-	if s.ConfigWithin < leastConfigWithin {
-		fault("--config-within: %s is below %s, in which no configuration is sure to be in force", s.ConfigWithin, leastConfigWithin)
+	if s.ConfigWithin < minConfigWithin {
+		fault("--config-within: %s is below %s, in which no configuration is sure to be in force", s.ConfigWithin, minConfigWithin)
 	}
 	if s.KeysWithin != 0 && s.KeysWithin < s.ConfigWithin {
 		fault("--keys-within: %s is below --config-within, by which entry hosts hear of the keys", s.KeysWithin)
@@ -194,9 +194,9 @@
 	}
 }
 
-type faultFunc func(format string, a ...any)
+type reportFunc func(format string, a ...any)
 
-func address(flag, v string, fault faultFunc) netip.AddrPort {
+func parseAddress(flag, v string, fault reportFunc) netip.AddrPort {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
 		fault("%s: %q is no IP number with a port", flag, v)
@@ -204,7 +204,7 @@
 	return a
 }
 
-func location(flag, v string, fault faultFunc) *url.URL {
+func parseURL(flag, v string, fault reportFunc) *url.URL {
 	u, err := url.Parse(v)
 	if v == "" {
 		return u
@@ -215,9 +215,9 @@
 	return u
 }
 
-// parse reads arguments into dest. It returns false with the exit code where
+// parseArgs reads arguments into dest. It returns false with the exit code where
 // the program is not to go on.
-func parse(dest any, program string, args []string, out, errs io.Writer) (int, bool) {
+func parseArgs(dest any, program string, args []string, out, errs io.Writer) (int, bool) {
 	p, err := arg.NewParser(arg.Config{Program: program, Out: errs}, dest)
 	if err != nil {
 		fmt.Fprintf(errs, "%s: %v\n", program, err)
--- a/commands/settings_file.go
+++ b/commands/settings_file.go
@@ -10,21 +10,21 @@
 	"github.com/goccy/go-yaml"
 )
 
-// settingsVariable names the settings file where no flag does.
-const settingsVariable = "AMBERWAY_SETTINGS"
+// settingsFileEnv names the settings file where no flag does.
+const settingsFileEnv = "AMBERWAY_SETTINGS"
 
 // readSettings returns the settings from the file, variables and flags. It
 // returns false with the exit code where the daemon is not to go on.
-func readSettings(args []string, out, errs io.Writer) (Settings, checked, int, bool) {
+func readSettings(args []string, out, errs io.Writer) (Settings, parsedSettings, int, bool) {
 	s := defaultSettings()
 	if f := settingsFile(args); f != "" {
 		if err := s.readFile(f); err != nil {
 			fmt.Fprintf(errs, "amberwayd: %v\n", err)
-			return s, checked{}, ExitUsage, false
+			return s, parsedSettings{}, ExitUsage, false
 		}
 	}
-	if code, ok := parse(&s, "amberwayd", args, out, errs); !ok {
-		return s, checked{}, code, false
+	if code, ok := parseArgs(&s, "amberwayd", args, out, errs); !ok {
+		return s, parsedSettings{}, code, false
 	}
 	c, err := s.check()
 	if err != nil {
@@ -45,7 +45,7 @@
 			return args[i+1]
 		}
 	}
-	return os.Getenv(settingsVariable)
+	return os.Getenv(settingsFileEnv)
 }
 
 // readFile reads the file over the settings. An entry that is no setting is an
--- a/commands/side.go
+++ b/commands/side.go
@@ -9,33 +9,33 @@
 	"amberway/request"
 )
 
-// side is a listener whose stop loses no request, with what serves it.
-type side struct {
+// gracefulServer is a listener whose stop loses no request, with what serves it.
+type gracefulServer struct {
 	*request.CallerServer
 	listener *request.CallerListener
 }
 
-// listenSide listens at the address for the handler. Callers are told for how long idle
+// newGracefulServer listens at the address for the handler. Callers are told for how long idle
 // connections are kept, and a stop waits for those that pause for longer.
-func listenSide(ctx context.Context, at netip.AddrPort, h http.Handler, keep, pause time.Duration) (side, error) {
+func newGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, keep, pause time.Duration) (gracefulServer, error) {
 	l, err := request.ListenForCallers(ctx, at)
 	if err != nil {
-		return side{}, err
+		return gracefulServer{}, err
 	}
-	return side{request.NewCallerServer(h, keep, pause), l}, nil
+	return gracefulServer{request.NewCallerServer(h, keep, pause), l}, nil
 }
 
 // serve serves until the listener is closed.
-func (s side) serve() error {
+func (s gracefulServer) serve() error {
 	return s.Serve(s.listener)
 }
 
 // stop stops the side and returns what that met.
-func (s side) stop(ctx context.Context) (request.StopReport, error) {
+func (s gracefulServer) stop(ctx context.Context) (request.StopReport, error) {
 	return s.Stop(ctx, s.listener)
 }
 
-// keep returns for how long a stop keeps an idle connection open at least.
-func (s Settings) keep() time.Duration {
+// keepAliveTimeout returns for how long a stop keeps an idle connection open at least.
+func (s Settings) keepAliveTimeout() time.Duration {
 	return request.KeepAliveTimeout(s.StopDelay, s.StopWithin)
 }
--- a/commands/tool.go
+++ b/commands/tool.go
@@ -27,8 +27,8 @@
 	Host    *hostArgs    `arg:"subcommand:host" help:"list, drain or release hosts"`
 	Job     *struct{}    `arg:"subcommand:job" help:"list jobs and the hosts that hold them"`
 	Wave    *waveArgs    `arg:"subcommand:wave" help:"list waves, start, pause, resume or abort one"`
-	Queues  *queuesArgs  `arg:"subcommand:queues" help:"show queues, pools and waves of a deployment that serves jobs"`
-	Teams   *queuesArgs  `arg:"subcommand:teams" help:"show teams: share, cap, what runs, waits and was refused"`
+	Queues  *entryArgs   `arg:"subcommand:queues" help:"show queues, pools and waves of a deployment that serves jobs"`
+	Teams   *entryArgs   `arg:"subcommand:teams" help:"show teams: share, cap, what runs, waits and was refused"`
 	Explain *explainArgs `arg:"subcommand:explain" help:"show what is known of one job"`
 	Status  *struct{}    `arg:"subcommand:status" help:"show the entry host and what it knows of the others"`
 	Dump    *struct{}    `arg:"subcommand:dump" help:"print the whole state of the entry host"`
@@ -94,7 +94,7 @@
 // RunTool is amberwayctl: it returns the exit code.
 func RunTool(args []string, out, errs io.Writer) int {
 	var a toolArgs
-	if code, ok := parse(&a, "amberwayctl", args, out, errs); !ok {
+	if code, ok := parseArgs(&a, "amberwayctl", args, out, errs); !ok {
 		return code
 	}
 	u, err := url.Parse(a.Admin)
@@ -114,13 +114,13 @@
 var errUsage = merry.New("name a command; --help lists them")
 
 func exitCode(err error) int {
-	var f config.FaultsError
+	var f config.ValidationError
 	var a *admin.APIError
 	isAPI := errors.As(err, &a)
 	switch {
 	case errors.Is(err, errUsage):
 		return ExitUsage
-	case errors.As(err, &f), isAPI && len(a.Faults) > 0:
+	case errors.As(err, &f), isAPI && len(a.Violations) > 0:
 		return ExitInvalid
 	case isAPI && a.Current > 0:
 		return ExitConflict
@@ -194,8 +194,8 @@
 
 // Times of apply --wait.
 const (
-	waitFor   = 30 * time.Second
-	waitEvery = 100 * time.Millisecond
+	applyTimeout      = 30 * time.Second
+	applyPollInterval = 100 * time.Millisecond
 )
 
 func (t *tool) apply(ctx context.Context, a *applyArgs) error {
@@ -220,17 +220,17 @@
 		return err
 	}
 	if a.Wait {
-		if err := t.wait(ctx, r.Generation, start.Add(waitFor)); err != nil {
+		if err := t.waitInForce(ctx, r.Generation, start.Add(applyTimeout)); err != nil {
 			return err
 		}
 	}
-	return t.applied(r, start)
+	return t.printApplied(r, start)
 }
 
-func (t *tool) applied(r admin.Applied, start time.Time) error {
+func (t *tool) printApplied(r admin.ApplyResult, start time.Time) error {
 	if t.args.JSON {
 		return t.json(struct {
-			admin.Applied
+			admin.ApplyResult
 			Seconds float64 `json:"seconds"`
 		}{r, time.Since(start).Seconds()})
 	}
@@ -238,14 +238,14 @@
 	return nil
 }
 
-// wait returns once every live entry host that answers has the generation.
-func (t *tool) wait(ctx context.Context, gen int64, until time.Time) error {
+// waitInForce returns once every live entry host that answers has the generation.
+func (t *tool) waitInForce(ctx context.Context, gen int64, until time.Time) error {
 	for time.Now().Before(until) {
 		s, err := t.client.Status(ctx)
 		if err == nil && inForce(s, gen) {
 			return nil
 		}
-		time.Sleep(waitEvery)
+		time.Sleep(applyPollInterval)
 	}
 	return merry.Errorf("generation %d is applied, but not yet in force on every entry host", gen)
 }
--- a/commands/tool_jobs.go
+++ b/commands/tool_jobs.go
@@ -15,17 +15,17 @@
 	"amberway/job"
 )
 
-// jobsTimeout bounds one question of the tool to an entry host.
-const jobsTimeout = 5 * time.Second
+// entryTimeout bounds one question of the tool to an entry host.
+const entryTimeout = 5 * time.Second
 
-// queuesArgs are the arguments of amberwayctl queues.
-type queuesArgs struct {
+// entryArgs are the arguments of amberwayctl queues.
+type entryArgs struct {
 	Entry string `arg:"--entry,env:AMBERWAY_ENTRY,required" help:"peers' listener of an entry host that serves jobs" placeholder:"IP:PORT"`
 }
 
 // explainArgs are the arguments of amberwayctl explain.
 type explainArgs struct {
-	queuesArgs
+	entryArgs
 	ID string `arg:"positional,required" help:"id of a job, 16 hexadecimal digits"`
 }
 
@@ -36,8 +36,8 @@
 var errNoJob = errors.New("no such job")
 
 // queues shows queues, pools and waves as the owner knows them.
-func (t *tool) queues(ctx context.Context, a *queuesArgs) error {
-	o, err := overview(ctx, a.Entry)
+func (t *tool) queues(ctx context.Context, a *entryArgs) error {
+	o, err := ownerOverview(ctx, a.Entry)
 	if err != nil {
 		return err
 	}
@@ -73,22 +73,22 @@
 
 // teams shows teams as the owner knows them, with what the entry host that is asked has
 // refused.
-func (t *tool) teams(ctx context.Context, a *queuesArgs) error {
-	entry, o, err := overviews(ctx, a.Entry)
+func (t *tool) teams(ctx context.Context, a *entryArgs) error {
+	entry, o, err := entryAndOwnerOverviews(ctx, a.Entry)
 	if err != nil {
 		return err
 	}
 	return t.table(o.Teams, "TEAM\tSHARE\tCORES\tCAP\tMEMORY MB\tCAP\tRUNNING\tWAITING\tBEYOND\tIN TIME\tLATE\tREFUSED HERE", func(w io.Writer) {
 		for _, v := range o.Teams {
 			fmt.Fprintf(w, "%s\t%g\t%.1f\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", v.Name, v.Weight,
-				float64(v.Used.MilliCores)/1000, bound(v.Cap.MilliCores, 1000), v.Used.MemoryMB, bound(v.Cap.MemoryMB, 1),
+				float64(v.Used.MilliCores)/1000, formatLimit(v.Cap.MilliCores, 1000), v.Used.MemoryMB, formatLimit(v.Cap.MemoryMB, 1),
 				v.Running, v.Waiting, v.Beyond, v.InTime, v.Late, entry.Refused[v.Name])
 		}
 	})
 }
 
-// bound shows a bound in units of the size; none is a hyphen.
-func bound(n, unit int64) string {
+// formatLimit shows a bound in units of the size; none is a hyphen.
+func formatLimit(n, unit int64) string {
 	if n == 0 {
 		return "-"
 	}
@@ -101,12 +101,12 @@
 	if _, ok := job.ParseID(a.ID); !ok {
 		return fmt.Errorf("%q is no job id of 16 hexadecimal digits", a.ID)
 	}
-	o, err := overview(ctx, a.Entry)
+	o, err := ownerOverview(ctx, a.Entry)
 	if err != nil {
 		return err
 	}
 	var e job.Explanation
-	err = ask(ctx, o.Owner.Peer, "/explain/"+a.ID, &e)
+	err = fetch(ctx, o.Owner.Peer, "/explain/"+a.ID, &e)
 	if errors.Is(err, errNoJob) {
 		return t.explainRefusal(ctx, a, err)
 	}
@@ -137,7 +137,7 @@
 		return unknown
 	}
 	var r job.Refusal
-	if err := ask(ctx, at, "/refused/"+a.ID, &r); err != nil {
+	if err := fetch(ctx, at, "/refused/"+a.ID, &r); err != nil {
 		return unknown
 	}
 	if t.args.JSON {
@@ -147,20 +147,20 @@
 	return nil
 }
 
-// overview asks the owner for what it knows, by way of any entry host.
-func overview(ctx context.Context, entry string) (job.Overview, error) {
-	_, o, err := overviews(ctx, entry)
+// ownerOverview asks the owner for what it knows, by way of any entry host.
+func ownerOverview(ctx context.Context, entry string) (job.Overview, error) {
+	_, o, err := entryAndOwnerOverviews(ctx, entry)
 	return o, err
 }
 
-// overviews returns what the entry host knows, and what the owner does.
-func overviews(ctx context.Context, entry string) (job.Overview, job.Overview, error) {
+// entryAndOwnerOverviews returns what the entry host knows, and what the owner does.
+func entryAndOwnerOverviews(ctx context.Context, entry string) (job.Overview, job.Overview, error) {
 	var asked, owner job.Overview
 	at, err := netip.ParseAddrPort(entry)
 	if err != nil {
 		return asked, owner, fmt.Errorf("--entry: %q is no IP number with a port", entry)
 	}
-	if err := ask(ctx, at, "/overview", &asked); err != nil {
+	if err := fetch(ctx, at, "/overview", &asked); err != nil {
 		return asked, owner, err
 	}
 	if asked.Owner.Name == "" {
@@ -169,13 +169,13 @@
 	if asked.Owner.Name == asked.Name {
 		return asked, asked, nil
 	}
-	return asked, owner, ask(ctx, asked.Owner.Peer, "/overview", &owner)
+	return asked, owner, fetch(ctx, asked.Owner.Peer, "/overview", &owner)
 }
 
-func ask(ctx context.Context, at netip.AddrPort, path string, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, jobsTimeout)
+func fetch(ctx context.Context, at netip.AddrPort, path string, v any) error {
+	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
-	r, err := common.NewExchange(common.Limits{PerAddress: 1, Total: 1}).Call(ctx, common.Request{Method: http.MethodGet, At: at, Path: path})
+	r, err := common.NewHTTPClient(common.Limits{MaxIdlePerAddress: 1, MaxIdle: 1}).Call(ctx, common.Request{Method: http.MethodGet, Address: at, Path: path})
 	if err != nil {
 		return fmt.Errorf("entry host %s: %w", at, err)
 	}
--- a/commands/tool_tables.go
+++ b/commands/tool_tables.go
@@ -15,7 +15,7 @@
 	"amberway/config"
 )
 
-func (t *tool) showConfig(c admin.Configured) error {
+func (t *tool) showConfig(c admin.ActiveConfig) error {
 	if t.args.JSON {
 		return t.json(c)
 	}
@@ -72,7 +72,7 @@
 	}
 	return t.table(l, "POOL\tTEAM\tHOSTS\tAVAILABLE\tNEED\tBUFFER\tLARGEST RACK", func(w io.Writer) {
 		for _, p := range l {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Team, p.Hosts, p.Available, p.Need, p.Buffer, p.LargestRack)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Team, p.Hosts, p.Available, p.MinAvailable, p.Buffer, p.LargestRack)
 		}
 	})
 }
@@ -114,7 +114,7 @@
 		if err != nil {
 			return err
 		}
-		return t.applied(r, start)
+		return t.printApplied(r, start)
 	}
 	return t.waves(ctx)
 }
@@ -127,7 +127,7 @@
 	return t.table(l, "WAVE\tSTATE\tHOSTS\tDONE\tIN MAINTENANCE\tAWAY", func(w io.Writer) {
 		for _, v := range l {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\n", v.Name, v.State, v.Hosts, v.Done,
-				strings.Join(v.Maintenance, " "), strings.Join(v.Away, " "))
+				strings.Join(v.Maintenance, " "), strings.Join(v.Overdue, " "))
 		}
 	})
 }
--- a/commands/wiring.go
+++ b/commands/wiring.go
@@ -24,24 +24,24 @@
 )
 
 // newDaemon makes the parts and joins them.
-func newDaemon(s Settings, c checked, l *logrus.Logger) (*Daemon, error) {
+func newDaemon(s Settings, c parsedSettings, l *logrus.Logger) (*requestsDaemon, error) {
 	h, m, err := newMeter()
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: s, checked: c, deps: common.NewDeps(l, m)}
+	d := &requestsDaemon{settings: s, parsed: c, deps: common.NewDeps(l, m)}
 	d.metrics = h
 	d.log = d.deps.Log("daemon")
-	d.started = d.deps.Now()
-	d.shares = request.NewSlotShares(d.started, s.Name)
-	d.pulse = common.NewPulse(d.deps.Now)
-	x := platform.NewPlatformExchange()
-	d.store = platform.NewEtcd(c.platform, x, &d.calls)
-	d.hosts = platform.NewHTTPHosts(c.hostList, x, &d.calls)
+	d.startedAt = d.deps.Now()
+	d.shares = request.NewSlotShares(d.startedAt, s.Name)
+	d.pauseDetector = common.NewPauseDetector(d.deps.Now)
+	x := platform.NewPlatformClient()
+	d.store = platform.NewEtcd(c.platform, x, &d.platformCalls)
+	d.hosts = platform.NewHTTPHosts(c.hostList, x, &d.platformCalls)
 	d.dialer = peers.NewDialer(s.PeerToken)
-	d.joinMembers()
-	d.joinFleet()
-	return d, d.observe(m)
+	d.initMembers()
+	d.initFleet()
+	return d, d.registerMetrics(m)
 }
 
 // newMeter returns the maker of instruments and the handler that shows them.
@@ -55,50 +55,50 @@
 	return promhttp.HandlerFor(r, promhttp.HandlerOpts{}), m, nil
 }
 
-// joinMembers makes configuration and membership, which feed each other.
-func (d *Daemon) joinMembers() {
-	d.follower = config.NewFollower(d.deps, d.store, func(*config.Snapshot) { d.refresh() })
+// initMembers makes configuration and membership, which feed each other.
+func (d *requestsDaemon) initMembers() {
+	d.follower = config.NewFollower(d.deps, d.store, func(*config.Snapshot) { d.updateRouting() })
 	self := peers.Member{
 		Name:        d.settings.Name,
-		Incarnation: uint64(d.started.UnixNano()),
-		Peer:        d.checked.peers,
-		Caller:      d.checked.callers,
+		Incarnation: uint64(d.startedAt.UnixNano()),
+		Peer:        d.parsed.peers,
+		Caller:      d.parsed.callers,
 		DataCentre:  d.settings.DataCentre,
 	}
 	d.members = peers.New(d.deps, peers.Settings{
 		Self:         self,
-		Seeds:        d.checked.seeds,
+		Seeds:        d.parsed.seeds,
 		Options:      peers.DefaultOptions(),
 		Generation:   func() int64 { return d.follower.Current().Head.Generation },
-		OnGeneration: d.learnConfig,
+		OnGeneration: d.fetchConfig,
 	}, d.dialer, d.store)
 }
 
-// joinFleet makes the request path and the coordinator.
-func (d *Daemon) joinFleet() {
+// initFleet makes the request path and the coordinator.
+func (d *requestsDaemon) initFleet() {
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	d.dispatcher = request.NewDispatcher(request.NewScheduler(request.DefaultPolicy(), r), d.deps.Now)
-	d.view = fleet.NewView(d.deps, d.settings.DataCentre, d.store, d.hosts, func(*fleet.Snapshot) { d.refresh() })
-	d.coord = fleet.NewCoordinator(d.deps, fleet.CoordinatorParts{
-		DataCentre: d.settings.DataCentre,
-		Self:       d.settings.Name,
-		Store:      d.store,
-		Hosts:      d.hosts,
-		View:       d.view,
-		Members:    d.members,
-		Dialer:     d.dialer,
-		Runs:       d.dispatcher,
-		Config:     d.follower.Current,
+	d.view = fleet.NewView(d.deps, d.settings.DataCentre, d.store, d.hosts, func(*fleet.Snapshot) { d.updateRouting() })
+	d.coordinator = fleet.NewCoordinator(d.deps, fleet.CoordinatorOptions{
+		DataCentre:  d.settings.DataCentre,
+		Self:        d.settings.Name,
+		Store:       d.store,
+		Hosts:       d.hosts,
+		View:        d.view,
+		Members:     d.members,
+		Dialer:      d.dialer,
+		IdleChecker: d.dispatcher,
+		Config:      d.follower.Current,
 	})
 }
 
-// joinServers makes the callers' and the operators' interface.
-func (d *Daemon) joinServers(ctx context.Context) error {
+// initServers makes the callers' and the operators' interface.
+func (d *requestsDaemon) initServers(ctx context.Context) error {
 	m, err := request.NewMetrics(d.deps.Meter)
 	if err != nil {
 		return err
 	}
-	f := request.NewForwarder(idleConns)
+	f := request.NewForwarder(maxIdleConnsPerTarget)
 	d.claimer = request.NewClaimer(ctx, d.deps, d.settings.Name, d.store, d.members, d.dialer)
 	d.server = request.NewServer(d.deps, request.ServerOptions{
 		Config:        d.follower.Current,
@@ -107,12 +107,12 @@
 		Runner:        f,
 		Hosts:         d.view,
 		Relay:         request.NewRelay(d.settings.DataCentre, d.settings.PeerToken, d.members.Live, f),
-		Issuer:        request.NewIssuer(d.settings.Name, uint64(d.started.UnixNano())),
+		Issuer:        request.NewIssuer(d.settings.Name, uint64(d.startedAt.UnixNano())),
 		Metrics:       m,
-		PauseDetector: d.pulse,
+		PauseDetector: d.pauseDetector,
 		HopToken:      d.settings.PeerToken,
 	})
-	d.admin = admin.New(d.deps, admin.Parts{
+	d.admin = admin.New(d.deps, admin.ServerOptions{
 		Name:        d.settings.Name,
 		DataCentre:  d.settings.DataCentre,
 		Version:     Version,
@@ -120,7 +120,7 @@
 		Follower:    d.follower,
 		Publisher:   config.NewPublisher(d.store),
 		View:        d.view,
-		Coordinator: d.coord,
+		Coordinator: d.coordinator,
 		Members:     d.members,
 		Ready:       d.ready,
 		Dump:        d.dump,
@@ -129,12 +129,12 @@
 	return nil
 }
 
-func (d *Daemon) offer(g *grpc.Server) {
+func (d *requestsDaemon) registerPeerServices(g *grpc.Server) {
 	d.members.Register(g)
 	d.claimer.Register(g)
 	config.NewPeerServer(d.follower).Register(g)
 	fleet.NewPeerServer(d.settings.DataCentre, d.view, d.dispatcher).Register(g)
 }
 
-// idleConns is the most idle connections kept to each target.
-const idleConns = 8
+// maxIdleConnsPerTarget is the most idle connections kept to each target.
+const maxIdleConnsPerTarget = 8
--- a/common/attempt.go
+++ b/common/attempt.go
@@ -13,7 +13,7 @@
 
 // attempt is one call on its way.
 type attempt struct {
-	Usage
+	InFlightCall
 	Request
 	// address is where a call goes that is not encrypted, which plain says.
 	address string
@@ -22,18 +22,18 @@
 	// cancel ends the call with a reason. It does nothing where only the context does.
 	cancel context.CancelCauseFunc
 	conns  *Connections
-	// began is when the call had its connection, the zero time before.
-	began time.Time
-	// kept says that the connection has served earlier calls.
-	kept bool
-	// stream says that the answer goes on for as long as the connection stands.
-	stream bool
-	timer  atomic.Pointer[time.Timer]
+	// connectedAt is when the call had its connection, the zero time before.
+	connectedAt time.Time
+	// reused says that the connection has served earlier calls.
+	reused bool
+	// streaming says that the answer goes on for as long as the connection stands.
+	streaming bool
+	timer     atomic.Pointer[time.Timer]
 }
 
 func newAttempt(ctx context.Context, o *Connections, q Request) *attempt {
 	a := prepare(ctx, o, q)
-	if q.early() || q.Stall > 0 {
+	if q.failsEarly() || q.StallTimeout > 0 {
 		a.makeCancellable()
 	}
 	return a
@@ -42,14 +42,14 @@
 // newStream returns the attempt of a call whose answer goes on until it is ended.
 func newStream(ctx context.Context, o *Connections, q Request) *attempt {
 	a := prepare(ctx, o, q)
-	a.stream = true
+	a.streaming = true
 	a.makeCancellable()
 	return a
 }
 
 func prepare(ctx context.Context, o *Connections, q Request) *attempt {
 	a := &attempt{Request: q, conns: o, ctx: ctx, cancel: func(error) {}}
-	a.kind = kindOf(q.Path)
+	a.kind = callKind(q.Path)
 	a.address, a.plain = q.plainAddress()
 	return a
 }
@@ -59,64 +59,64 @@
 	a.ctx, a.cancel = context.WithCancelCause(a.ctx)
 }
 
-// traced returns the attempt's context with what a client of net/http has to tell of.
-func (a *attempt) traced() context.Context {
-	return httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{GotConn: a.got, GotFirstResponseByte: a.stopTimer})
+// tracedContext returns the attempt's context with what a client of net/http has to tell of.
+func (a *attempt) tracedContext() context.Context {
+	return httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{GotConn: a.gotConn, GotFirstResponseByte: a.stopTimer})
 }
 
-// got begins the call on a connection. It is called again where that turned out to
+// gotConn begins the call on a connection. It is called again where that turned out to
 // be closed before anything was sent.
-func (a *attempt) got(i httptrace.GotConnInfo) {
+func (a *attempt) gotConn(i httptrace.GotConnInfo) {
 	a.stopTimer()
-	a.began, a.kept = time.Now(), i.Reused
+	a.connectedAt, a.reused = time.Now(), i.Reused
 	var giveUp func()
-	if a.stream || (i.Reused && a.early()) {
+	if a.streaming || (i.Reused && a.failsEarly()) {
 		giveUp = func() { a.cancel(errDistrusted) }
 	}
-	a.conns.Begin(&a.Usage, i.Conn, giveUp)
+	a.conns.Begin(&a.InFlightCall, i.Conn, giveUp)
 	end, bounded := a.ctx.Deadline()
-	p := a.patience(end.Sub(a.began))
-	if !i.Reused && a.Stall > 0 {
-		p, bounded = a.Wait+a.Stall, true
+	p := a.reusedTimeout(end.Sub(a.connectedAt))
+	if !i.Reused && a.StallTimeout > 0 {
+		p, bounded = a.Wait+a.StallTimeout, true
 	} else if !i.Reused {
 		p = 0
 	}
 	if bounded && p > 0 {
-		a.overdueIn(p)
+		a.startTimer(p)
 	}
 }
 
-// overdueIn ends the call after a time. A new connection that brings nothing is not
+// startTimer ends the call after a time. A new connection that brings nothing is not
 // silent: the other side is slow.
-func (a *attempt) overdueIn(d time.Duration) {
+func (a *attempt) startTimer(d time.Duration) {
 	why := errStalled
-	if a.kept {
+	if a.reused {
 		why = errOverdue
 	}
 	a.timer.Store(time.AfterFunc(d, func() { a.cancel(why) }))
 }
 
-// body returns what reads the answer's body and ends the call once nothing comes for
+// stallingBody returns what reads the answer's body and ends the call once nothing comes for
 // its Stall.
-func (a *attempt) body(r io.Reader) io.Reader {
-	if a.Stall == 0 {
+func (a *attempt) stallingBody(r io.Reader) io.Reader {
+	if a.StallTimeout == 0 {
 		return r
 	}
-	a.overdueIn(a.Stall)
-	return &moving{Reader: r, of: a}
+	a.startTimer(a.StallTimeout)
+	return &progressReader{Reader: r, attempt: a}
 }
 
-// moving is a body that is read for as long as it goes on.
-type moving struct {
+// progressReader is a body that is read for as long as it goes on.
+type progressReader struct {
 	io.Reader
-	of *attempt
+	attempt *attempt
 }
 
 // Read reads, and puts the end of the call off.
-func (m *moving) Read(b []byte) (int, error) {
+func (m *progressReader) Read(b []byte) (int, error) {
 	n, err := m.Reader.Read(b)
-	if t := m.of.timer.Load(); t != nil && n > 0 {
-		t.Reset(m.of.Stall)
+	if t := m.attempt.timer.Load(); t != nil && n > 0 {
+		t.Reset(m.attempt.StallTimeout)
 	}
 	return n, err
 }
@@ -129,17 +129,17 @@
 
 func (a *attempt) end() {
 	a.stopTimer()
-	a.conns.End(&a.Usage)
+	a.conns.End(&a.InFlightCall)
 	a.cancel(nil)
 }
 
-// failed returns the error of a call without an answer, and gives up what is not
+// wrapError returns the error of a call without an answer, and gives up what is not
 // newer than its connection where that was silent.
-func (a *attempt) failed(err error) error {
-	kind := ErrUnknown
-	if a.began.IsZero() || errors.Is(err, syscall.ECONNREFUSED) {
+func (a *attempt) wrapError(err error) error {
+	kind := ErrUnknownOutcome
+	if a.connectedAt.IsZero() || errors.Is(err, syscall.ECONNREFUSED) {
 		kind = ErrNotSent
-	} else if silent := a.silence(); silent != nil {
+	} else if silent := a.checkSilence(); silent != nil {
 		kind = silent
 	}
 	return fmt.Errorf("%w: %s: %w", kind, a.Path, err)
@@ -147,21 +147,21 @@
 
 // due is when the answer should have come.
 func (a *attempt) due() time.Time {
-	return a.began.Add(a.Wait)
+	return a.connectedAt.Add(a.Wait)
 }
 
-// silence returns why the call's connection counts as silent, or nil.
-func (a *attempt) silence() error {
+// checkSilence returns why the call's connection counts as silent, or nil.
+func (a *attempt) checkSilence() error {
 	why := context.Cause(a.ctx)
 	if errors.Is(why, errDistrusted) {
 		return errDistrusted
 	}
-	overdue := !a.stream && errors.Is(why, context.DeadlineExceeded) && time.Since(a.due()) >= leastSilence
+	overdue := !a.streaming && errors.Is(why, context.DeadlineExceeded) && time.Since(a.due()) >= minSilence
 	if !overdue && !errors.Is(why, errOverdue) {
 		return nil
 	}
-	a.conns.Distrust(&a.Usage, a.due().Add(answerWithin), a.kept)
-	if !a.kept {
+	a.conns.Distrust(&a.InFlightCall, a.due().Add(usualAnswerTime), a.reused)
+	if !a.reused {
 		return nil
 	}
 	return ErrSilent
--- a/common/caller.go
+++ b/common/caller.go
@@ -16,24 +16,24 @@
 	"time"
 )
 
-// caller makes HTTP/1.1 calls, each whole in the goroutine of who asks for it. The
+// plainClient makes HTTP/1.1 calls, each whole in the goroutine of who asks for it. The
 // client of net/http hands each call to two goroutines of its connection, and the answer
 // back: of an owner's processor time under load, 64 % went into that, 296 to 373 us for
 // each start. BenchmarkCall says what one call takes either way.
-type caller struct {
+type plainClient struct {
 	conns *Connections
 	pool  *pool
 }
 
-func newCaller(o *Connections, l Limits) *caller {
-	return &caller{conns: o, pool: newPool(l)}
+func newPlainClient(o *Connections, l Limits) *plainClient {
+	return &plainClient{conns: o, pool: newPool(l)}
 }
 
-// readAhead is the buffer of each connection, in bytes: most answers fit in it.
-const readAhead = 2 << 10
+// readBufferSize is the buffer of each connection, in bytes: most answers fit in it.
+const readBufferSize = 2 << 10
 
-// connect returns a kept connection or a new one, and begins the call on it.
-func (c *caller) connect(a *attempt) (*kept, error) {
+// acquireConn returns a kept connection or a new one, and begins the call on it.
+func (c *plainClient) acquireConn(a *attempt) (*pooledConn, error) {
 	k := c.pool.take(a.address, time.Now())
 	reused := k != nil
 	if !reused {
@@ -41,9 +41,9 @@
 		if err != nil {
 			return nil, err
 		}
-		k = &kept{Conn: n, reader: bufio.NewReaderSize(n, readAhead), address: a.address}
+		k = &pooledConn{Conn: n, reader: bufio.NewReaderSize(n, readBufferSize), address: a.address}
 	}
-	a.got(httptrace.GotConnInfo{Conn: k.Conn, Reused: reused})
+	a.gotConn(httptrace.GotConnInfo{Conn: k.Conn, Reused: reused})
 	return k, nil
 }
 
@@ -51,20 +51,20 @@
 // That is closed as the context ends, so that what has not been carried out by then is not
 // carried out after it, if that can be helped; release ends this, and reports false where
 // the context has ended.
-func (c *caller) send(a *attempt) (on *kept, answer *http.Response, release func() bool, err error) {
+func (c *plainClient) send(a *attempt) (on *pooledConn, answer *http.Response, release func() bool, err error) {
 	b := buffers.Get().(*bytes.Buffer) //nolint:forcetypeassert // the pool holds nothing else
 	defer buffers.Put(b)
 	b.Reset()
-	if err := a.write(b); err != nil {
+	if err := a.writeRequest(b); err != nil {
 		return nil, nil, nil, err
 	}
-	k, err := c.connect(a)
+	k, err := c.acquireConn(a)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	// It may run after this has returned: k is never set again.
 	release = context.AfterFunc(a.ctx, func() { _ = k.Close() })
-	res, err := k.begin(a, b.Bytes())
+	res, err := k.roundTrip(a, b.Bytes())
 	if err != nil {
 		release()
 		_ = k.Close()
@@ -74,12 +74,12 @@
 }
 
 // call makes the call, and keeps its connection where another may follow.
-func (c *caller) call(a *attempt) (Reply, error) {
+func (c *plainClient) call(a *attempt) (Reply, error) {
 	k, res, release, err := c.send(a)
 	if err != nil {
 		return Reply{}, err
 	}
-	r, reusable, err := a.read(res)
+	r, reusable, err := a.readReply(res)
 	if !release() {
 		reusable = false
 	}
@@ -90,13 +90,13 @@
 		return Reply{}, errors.Join(err, context.Cause(a.ctx))
 	}
 	if reusable {
-		c.pool.put(k, time.Now(), usableIdle(r.Header))
+		c.pool.put(k, time.Now(), reuseTimeout(r.Header))
 	}
 	return r, nil
 }
 
 // open makes the call until its answer has begun.
-func (c *caller) open(a *attempt) (*http.Response, error) {
+func (c *plainClient) open(a *attempt) (*http.Response, error) {
 	_, res, _, err := c.send(a)
 	return res, err
 }
@@ -106,14 +106,14 @@
 
 // plainAddress returns where a call goes that is not encrypted, or false for one that is.
 func (q Request) plainAddress() (string, bool) {
-	if q.Base == "" {
-		return q.At.String(), true
+	if q.BaseURL == "" {
+		return q.Address.String(), true
 	}
-	return strings.CutPrefix(q.Base, "http://")
+	return strings.CutPrefix(q.BaseURL, "http://")
 }
 
-// write writes the request as it goes over the connection.
-func (a *attempt) write(b *bytes.Buffer) error {
+// writeRequest writes the request as it goes over the connection.
+func (a *attempt) writeRequest(b *bytes.Buffer) error {
 	var body []byte
 	if a.Body != nil {
 		var err error
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// begin sends the request and reads the head of the answer.
-func (k *kept) begin(a *attempt, request []byte) (*http.Response, error) {
+// roundTrip sends the request and reads the head of the answer.
+func (k *pooledConn) roundTrip(a *attempt, request []byte) (*http.Response, error) {
 	if _, err := k.Write(request); err != nil {
 		return nil, err
 	}
@@ -157,14 +157,14 @@
 		return nil, err
 	}
 	a.stopTimer()
-	return k.answer()
+	return k.readHead()
 }
 
-// read reads the answer. It reports whether its connection may carry another call.
-func (a *attempt) read(res *http.Response) (Reply, bool, error) {
+// readReply reads the answer. It reports whether its connection may carry another call.
+func (a *attempt) readReply(res *http.Response) (Reply, bool, error) {
 	defer res.Body.Close()
-	most := cmp.Or(a.Most, maxReply)
-	b, err := readBody(a.body(res.Body), res.ContentLength, most)
+	most := cmp.Or(a.MaxReplyBytes, maxReply)
+	b, err := readBody(a.stallingBody(res.Body), res.ContentLength, most)
 	if err != nil {
 		return Reply{}, false, err
 	}
@@ -172,8 +172,8 @@
 	return Reply{Status: res.StatusCode, Header: res.Header, Body: b}, whole && !res.Close, nil
 }
 
-// answer reads the head of the answer, and passes over those before it.
-func (k *kept) answer() (*http.Response, error) {
+// readHead reads the head of the answer, and passes over those before it.
+func (k *pooledConn) readHead() (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(k.reader, nil)
 		if err != nil || res.StatusCode >= http.StatusOK {
--- a/common/class.go
+++ b/common/class.go
@@ -12,8 +12,8 @@
 	Patient
 )
 
-// Classes is the number of classes.
-const Classes = 2
+// NumClasses is the number of classes.
+const NumClasses = 2
 
 // String returns the class's name as it stands in the configuration.
 func (c Class) String() string {
--- a/common/common_test.go
+++ b/common/common_test.go
@@ -13,74 +13,74 @@
 	"pgregory.net/rapid"
 )
 
-func TestPulseSuspendsAfterAPauseUntilAllIsLearned(t *testing.T) {
+func TestPauseDetectorRecoversOnceStateIsReloaded(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p := NewPulse(func() time.Time { return now })
-	require.False(t, p.Beat(now.Add(pulseEvery)))
-	require.False(t, p.Suspended(now.Add(2*pulseEvery)))
+	p := NewPauseDetector(func() time.Time { return now })
+	require.False(t, p.Heartbeat(now.Add(heartbeatInterval)))
+	require.False(t, p.Recovering(now.Add(2*heartbeatInterval)))
 	now = now.Add(time.Minute)
-	require.True(t, p.Suspended(now), "before the first beat after the pause")
-	require.True(t, p.Beat(now))
-	require.True(t, p.Suspended(now), "after the first beat")
-	p.relearn(t.Context(), func(context.Context) error { return nil })
-	require.False(t, p.Suspended(now))
-	require.True(t, p.Beat(now.Add(time.Minute)))
-	later := now.Add(time.Minute).Add(pulseTrust)
-	p.beat.Store(later.UnixNano())
-	require.False(t, p.Suspended(later), "in an outage it acts on what it knew after a time")
+	require.True(t, p.Recovering(now), "before the first beat after the pause")
+	require.True(t, p.Heartbeat(now))
+	require.True(t, p.Recovering(now), "after the first beat")
+	p.reload(t.Context(), func(context.Context) error { return nil })
+	require.False(t, p.Recovering(now))
+	require.True(t, p.Heartbeat(now.Add(time.Minute)))
+	later := now.Add(time.Minute).Add(maxRecovery)
+	p.lastHeartbeat.Store(later.UnixNano())
+	require.False(t, p.Recovering(later), "in an outage it acts on what it knew after a time")
 }
 
 // heapModel drives a Heap and keeps the slots that are in it.
 type heapModel struct {
-	heap  *Heap[int]
-	slots map[*HeapEntry[int]]bool
+	heap    *Heap[int]
+	entries map[*HeapEntry[int]]bool
 }
 
 func (m *heapModel) push(t *rapid.T) {
-	m.slots[m.heap.Push(rapid.IntRange(0, 20).Draw(t, "value"))] = true
+	m.entries[m.heap.Push(rapid.IntRange(0, 20).Draw(t, "value"))] = true
 }
 
 func (m *heapModel) remove(t *rapid.T) {
-	for s := range m.slots {
+	for s := range m.entries {
 		if !m.heap.Remove(s) || m.heap.Remove(s) {
 			t.Fatal("an item was there twice, or not at all")
 		}
-		delete(m.slots, s)
+		delete(m.entries, s)
 		return
 	}
 }
 
 func (m *heapModel) pop(t *rapid.T) {
 	v, ok := m.heap.Pop()
-	if ok == (len(m.slots) == 0) {
-		t.Fatalf("an item came: %t, with %d in the heap", ok, len(m.slots))
+	if ok == (len(m.entries) == 0) {
+		t.Fatalf("an item came: %t, with %d in the heap", ok, len(m.entries))
 	}
-	for s := range m.slots {
+	for s := range m.entries {
 		if s.Value < v {
 			t.Fatalf("%d came before %d", v, s.Value)
 		}
 	}
-	maps.DeleteFunc(m.slots, func(s *HeapEntry[int], _ bool) bool { return s.index < 0 })
+	maps.DeleteFunc(m.entries, func(s *HeapEntry[int], _ bool) bool { return s.index < 0 })
 }
 
 func TestHeapRemovesFromTheMiddle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &heapModel{heap: NewHeap(func(a, b int) bool { return a < b }), slots: map[*HeapEntry[int]]bool{}}
+		m := &heapModel{heap: NewHeap(func(a, b int) bool { return a < b }), entries: map[*HeapEntry[int]]bool{}}
 		t.Repeat(map[string]func(*rapid.T){"push": m.push, "remove": m.remove, "pop": m.pop})
 	})
 }
 
-func TestRankMovesOnlyWhatItMust(t *testing.T) {
+func TestRankKeepsOrderOfRemainingNames(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	for _, k := range []string{"1", "2", "3", "4", "5"} {
 		r := Rank(k, names)
-		require.Equal(t, r[0], First(k, names))
+		require.Equal(t, r[0], RankFirst(k, names))
 		require.Equal(t, r[1:], Rank(k, r[1:]), "the order of the others stays when the first leaves")
 	}
-	require.Empty(t, First("1", nil))
+	require.Empty(t, RankFirst("1", nil))
 }
 
-func TestVerdictsAndClassesReadWhatTheyWrite(t *testing.T) {
+func TestVerdictsAndClassesRoundTrip(t *testing.T) {
 	for _, v := range []Verdict{Ran, NotRun, MayHaveRun} {
 		got, err := ParseVerdict(v.String())
 		require.NoError(t, err)
@@ -98,7 +98,7 @@
 	require.Equal(t, MayHaveRun, zero, "the zero verdict rules nothing out")
 }
 
-func TestProblemTellsWhenToComeBack(t *testing.T) {
+func TestProblemSetsRetryAfter(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	w := httptest.NewRecorder()
 	p := &ProblemError{Type: "about:blank", Title: "refused", Status: http.StatusServiceUnavailable, Verdict: NotRun, RetryAt: now.Add(1500 * time.Millisecond)}
--- a/common/connections.go
+++ b/common/connections.go
@@ -13,13 +13,13 @@
 // before the silence may be as dead as the one that showed it, so that they are
 // given up together.
 type Connections struct {
-	dial  func(ctx context.Context, network, address string) (net.Conn, error)
-	epoch time.Time
-	// silences is nil where no other client's connections are joined.
-	silences *Silences
-	traffic  Traffic
-	mu       sync.Mutex
-	open     map[string]map[*connection]bool
+	dial      func(ctx context.Context, network, address string) (net.Conn, error)
+	createdAt time.Time
+	// group is nil where no other client's connections are joined.
+	group   *ConnectionGroup
+	traffic Traffic
+	mu      sync.Mutex
+	open    map[string]map[*connection]bool
 }
 
 // Traffic returns the counts of what the calls on the connections carry.
@@ -29,34 +29,34 @@
 
 // NewConnections returns none yet. They are opened by dial.
 func NewConnections(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Connections {
-	return &Connections{dial: dial, epoch: time.Now(), open: map[string]map[*connection]bool{}}
+	return &Connections{dial: dial, createdAt: time.Now(), open: map[string]map[*connection]bool{}}
 }
 
 // connection is one open connection.
 type connection struct {
 	net.Conn
-	of      *Connections
+	conns   *Connections
 	address string
-	// heard is when it was opened or last brought something, as the time since the
+	// lastActive is when it was opened or last brought something, as the time since the
 	// epoch: that is read and written without a lock.
-	heard atomic.Int64
+	lastActive atomic.Int64
 	// sent and received count its bytes.
 	sent, received atomic.Int64
 	// calls are those under way on it. The next may begin just before the last
 	// has been noted to be over.
-	calls map[*Usage]bool
+	calls map[*InFlightCall]bool
 }
 
-// Usage is one call on its way over a connection.
-type Usage struct {
-	on *connection
+// InFlightCall is one call on its way over a connection.
+type InFlightCall struct {
+	conn *connection
 	// kind is the call's in the counts of traffic; sent and received are what its
 	// connection had carried when it began.
-	kind           string
-	sent, received int64
-	// giveUp ends the call on a connection that is no longer trusted, where it may
+	kind                       string
+	sentBefore, receivedBefore int64
+	// abandon ends the call on a connection that is no longer trusted, where it may
 	// be repeated; nil where it may not.
-	giveUp func()
+	abandon func()
 }
 
 // Dial opens a connection. It has the form that http.Transport wants.
@@ -65,8 +65,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &connection{Conn: n, of: o, address: address, calls: map[*Usage]bool{}}
-	c.hear()
+	c := &connection{Conn: n, conns: o, address: address, calls: map[*InFlightCall]bool{}}
+	c.markActive()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.open[address] == nil {
@@ -80,7 +80,7 @@
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.hear()
+		c.markActive()
 		c.received.Add(int64(n))
 	}
 	return n, err
@@ -98,21 +98,21 @@
 	return c.Conn
 }
 
-func (c *connection) hear() {
-	c.heard.Store(int64(time.Since(c.of.epoch)))
+func (c *connection) markActive() {
+	c.lastActive.Store(int64(time.Since(c.conns.createdAt)))
 }
 
-func (c *connection) heardSince(t time.Time) bool {
-	return c.heard.Load() > int64(t.Sub(c.of.epoch))
+func (c *connection) activeSince(t time.Time) bool {
+	return c.lastActive.Load() > int64(t.Sub(c.conns.createdAt))
 }
 
 // Close closes the connection.
 func (c *connection) Close() error {
-	c.of.forget(c)
+	c.conns.remove(c)
 	return c.Conn.Close()
 }
 
-func (o *Connections) forget(c *connection) {
+func (o *Connections) remove(c *connection) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	l := o.open[c.address]
@@ -126,7 +126,7 @@
 // opened, plain or below TLS, and no longer over an earlier one. A call that can be
 // made again is ended by giveUp once the connection is no longer trusted; others have
 // none.
-func (o *Connections) Begin(u *Usage, n net.Conn, giveUp func()) {
+func (o *Connections) Begin(u *InFlightCall, n net.Conn, giveUp func()) {
 	c, ok := n.(*connection)
 	if t, below := n.(interface{ NetConn() net.Conn }); !ok && below {
 		c, ok = t.NetConn().(*connection)
@@ -136,27 +136,27 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	u.leave()
-	u.on, u.giveUp = c, giveUp
-	u.sent, u.received = c.sent.Load(), c.received.Load()
+	u.detach()
+	u.conn, u.abandon = c, giveUp
+	u.sentBefore, u.receivedBefore = c.sent.Load(), c.received.Load()
 	c.calls[u] = true
 }
 
 // End notes that the call is over.
-func (o *Connections) End(u *Usage) {
+func (o *Connections) End(u *InFlightCall) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	u.leave()
+	u.detach()
 }
 
-func (u *Usage) leave() {
-	c := u.on
+func (u *InFlightCall) detach() {
+	c := u.conn
 	if c == nil {
 		return
 	}
-	c.of.traffic.add(u.kind, c.sent.Load()-u.sent, c.received.Load()-u.received)
+	c.conns.traffic.add(u.kind, c.sent.Load()-u.sentBefore, c.received.Load()-u.receivedBefore)
 	delete(c.calls, u)
-	u.on = nil
+	u.conn = nil
 }
 
 // Distrust closes the idle connections to the address of a call that was not
@@ -164,13 +164,13 @@
 // connection was kept, it has gone silent, and so may have those of other calls: the
 // ones that can be made again are given up. Other calls go on, and their connections
 // are kept if they still answer.
-func (o *Connections) Distrust(u *Usage, since time.Time, kept bool) {
-	idle, calls := o.suspects(u, since)
+func (o *Connections) Distrust(u *InFlightCall, since time.Time, kept bool) {
+	idle, calls := o.silentWith(u, since)
 	if !kept {
 		// The other side may be slow, and no more calls are to be put to it.
 		calls = nil
 	}
-	giveUp(idle, calls)
+	closeAndAbandon(idle, calls)
 }
 
 // distrustAll does the same for every address.
@@ -183,10 +183,10 @@
 		idle, calls = append(idle, i...), append(calls, c...)
 	}
 	o.mu.Unlock()
-	giveUp(idle, calls)
+	closeAndAbandon(idle, calls)
 }
 
-func giveUp(idle []*connection, calls []func()) {
+func closeAndAbandon(idle []*connection, calls []func()) {
 	for _, c := range idle {
 		_ = c.Close()
 	}
@@ -195,13 +195,13 @@
 	}
 }
 
-func (o *Connections) suspects(of *Usage, since time.Time) ([]*connection, []func()) {
+func (o *Connections) silentWith(of *InFlightCall, since time.Time) ([]*connection, []func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if of.on == nil {
+	if of.conn == nil {
 		return nil, nil
 	}
-	return silentSince(o.open[of.on.address], since)
+	return silentSince(o.open[of.conn.address], since)
 }
 
 // silentSince returns those of the connections that are idle and have brought nothing
@@ -210,15 +210,15 @@
 	var idle []*connection
 	var calls []func()
 	for c := range l {
-		if c.heardSince(since) {
+		if c.activeSince(since) {
 			continue
 		}
 		if len(c.calls) == 0 {
 			idle = append(idle, c)
 		}
 		for u := range c.calls {
-			if u.giveUp != nil {
-				calls = append(calls, u.giveUp)
+			if u.abandon != nil {
+				calls = append(calls, u.abandon)
 			}
 		}
 	}
--- a/common/deps.go
+++ b/common/deps.go
@@ -17,17 +17,17 @@
 	Meter metric.Meter
 	// Now tells the time. Pure code never calls it.
 	Now func() time.Time
-	// Suspended tells for how long the host has been suspended since the process began.
-	Suspended func() time.Duration
+	// SuspendedFor tells for how long the host has been suspended since the process began.
+	SuspendedFor func() time.Duration
 }
 
 // NewDeps returns dependencies that log to l and count with m.
 func NewDeps(l *logrus.Logger, m metric.Meter) Deps {
-	return Deps{Logger: l, Meter: m, Now: time.Now, Suspended: NewSuspension().Total}
+	return Deps{Logger: l, Meter: m, Now: time.Now, SuspendedFor: NewSuspensionTracker().Total}
 }
 
-// Quiet returns dependencies that log and count nowhere.
-func Quiet() Deps {
+// NopDeps returns dependencies that log and count nowhere.
+func NopDeps() Deps {
 	l := logrus.New()
 	l.SetLevel(logrus.PanicLevel)
 	return NewDeps(l, noop.NewMeterProvider().Meter("quiet"))
--- a/common/example_test.go
+++ b/common/example_test.go
@@ -8,7 +8,7 @@
 
 func ExampleRank() {
 	all := common.Rank("target-1", []string{"entry-1", "entry-2", "entry-3"})
-	fmt.Println(all[0] == common.First("target-1", all))
+	fmt.Println(all[0] == common.RankFirst("target-1", all))
 	// Output:
 	// true
 }
--- a/common/exchange.go
+++ b/common/exchange.go
@@ -22,81 +22,81 @@
 	maxReply int64 = 4 << 20
 	// idleTimeout closes connections that carry nothing.
 	idleTimeout = 30 * time.Second
-	// answerWithin is what an answer takes at most when all goes well, beyond the
+	// usualAnswerTime is what an answer takes at most when all goes well, beyond the
 	// time that the other side was asked to wait. A connection that brings
 	// something later than that after another's call is not silent as the other is.
-	answerWithin = 100 * time.Millisecond
-	// leastSilence is the least time without an answer that shows silence, where a
+	usualAnswerTime = 100 * time.Millisecond
+	// minSilence is the least time without an answer that shows silence, where a
 	// call has no more time: a store that is slow takes a quarter of a second.
-	leastSilence = 250 * time.Millisecond
+	minSilence = 250 * time.Millisecond
 )
 
 // Errors of an Exchange.
 var (
 	// ErrNotSent says that the other side was not reached and has done nothing.
 	ErrNotSent = errors.New("not reached")
-	// ErrUnknown says that the answer was lost: what was asked may be done.
-	ErrUnknown = errors.New("answer lost")
+	// ErrUnknownOutcome says that the answer was lost: what was asked may be done.
+	ErrUnknownOutcome = errors.New("answer lost")
 	// ErrSilent is an ErrUnknown of a connection that was kept from earlier calls
 	// and brought no answer in time. The next call goes on a new one.
-	ErrSilent = fmt.Errorf("%w: kept connection is silent", ErrUnknown)
+	ErrSilent = fmt.Errorf("%w: kept connection is silent", ErrUnknownOutcome)
 	// errOverdue ends a call whose own connection has brought nothing in time.
 	errOverdue = fmt.Errorf("%w: answer overdue", ErrSilent)
 	// errStalled ends a call whose new connection has brought nothing for its Stall.
-	errStalled = fmt.Errorf("%w: answer stalled", ErrUnknown)
+	errStalled = fmt.Errorf("%w: answer stalled", ErrUnknownOutcome)
 	// errDistrusted ends a call whose connection is no newer than a silent one.
 	errDistrusted = fmt.Errorf("%w, as another to its address is", ErrSilent)
 )
 
-// Exchange makes HTTP calls with JSON bodies and tells calls that were never
+// HTTPClient makes HTTP calls with JSON bodies and tells calls that were never
 // sent from those whose answer was lost.
-type Exchange struct {
-	// client makes the encrypted calls, caller the others.
-	client *http.Client
-	caller *caller
-	conns  *Connections
+type HTTPClient struct {
+	// encrypted makes the encrypted calls, caller the others.
+	encrypted *http.Client
+	plain     *plainClient
+	conns     *Connections
 }
 
 // Limits bound the connections of an Exchange.
 type Limits struct {
-	// PerAddress is the most idle connections kept to one address.
-	PerAddress int
-	// Total is the most kept to all; zero is no bound.
-	Total int
-	// KeepAlive is the time between TCP's own probes; zero is none. They end
+	// MaxIdlePerAddress is the most idle connections kept to one address.
+	MaxIdlePerAddress int
+	// MaxIdle is the most kept to all; zero is no bound.
+	MaxIdle int
+	// KeepAliveInterval is the time between TCP's own probes; zero is none. They end
 	// connections to a host that is gone while nothing is sent to it.
-	KeepAlive time.Duration
+	KeepAliveInterval time.Duration
 }
 
-// NewExchange returns an Exchange without connections yet.
-func NewExchange(l Limits) Exchange {
-	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: l.KeepAlive}
-	if l.KeepAlive == 0 {
+// NewHTTPClient returns an Exchange without connections yet.
+func NewHTTPClient(l Limits) HTTPClient {
+	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: l.KeepAliveInterval}
+	if l.KeepAliveInterval == 0 {
 		d.KeepAlive = -1
 	}
 	o := NewConnections(func(ctx context.Context, network, address string) (net.Conn, error) {
-		return dialAbrupt(ctx, d, network, address)
+		return dialWithReset(ctx, d, network, address)
 	})
 	t := &http.Transport{
 		DialContext:         o.Dial,
-		MaxIdleConnsPerHost: l.PerAddress,
-		MaxIdleConns:        l.Total,
+		MaxIdleConnsPerHost: l.MaxIdlePerAddress,
+		MaxIdleConns:        l.MaxIdle,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		WriteBufferSize:     2 << 10,
 		ReadBufferSize:      2 << 10,
 	}
-	return Exchange{client: &http.Client{Transport: t}, caller: newCaller(o, l), conns: o}
+	return HTTPClient{encrypted: &http.Client{Transport: t}, plain: newPlainClient(o, l), conns: o}
 }
 
 // Connections returns the exchange's connections, to be joined with others.
-func (x Exchange) Connections() *Connections {
+func (x HTTPClient) Connections() *Connections {
 	return x.conns
 }
 
-// dialAbrupt opens a connection that is reset when it is closed: what a cut has
+// dialWithReset opens a connection that is reset when it is closed: what a cut has
 // held up must not arrive after its call was given up.
-func dialAbrupt(ctx context.Context, d *net.Dialer, network, address string) (net.Conn, error) {
+func dialWithReset(ctx context.Context, d *net.Dialer, network, address string) (net.Conn, error) {
 	c, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -112,11 +112,11 @@
 
 // Request is one call.
 type Request struct {
-	Method string
-	At     netip.AddrPort
-	// Base is the scheme and host where the other side is known by these; it goes
+	Method  string
+	Address netip.AddrPort
+	// BaseURL is the scheme and host where the other side is known by these; it goes
 	// before At.
-	Base string
+	BaseURL string
 	// Path is the path and query.
 	Path string
 	// Body is sent as JSON; nil is none.
@@ -124,34 +124,34 @@
 	Header http.Header
 	// Wait is how long the other side is asked to wait before it answers.
 	Wait time.Duration
-	// Settled says that the caller finds out what became of a call without an
+	// CallerResolves says that the caller finds out what became of a call without an
 	// answer, and goes on: such a call is given up early on a kept connection.
-	Settled bool
-	// Stall is how long the answer may bring nothing, once it has begun as well as
+	CallerResolves bool
+	// StallTimeout is how long the answer may bring nothing, once it has begun as well as
 	// before: a long one on a narrow link is not silent while it goes on. Zero leaves
 	// that to the context.
-	Stall time.Duration
-	// Most is the most bytes of an answer; zero is maxReply.
-	Most int64
-	// again says that the exchange repeats the call if its connection is not trusted.
-	again bool
+	StallTimeout time.Duration
+	// MaxReplyBytes is the most bytes of an answer; zero is maxReply.
+	MaxReplyBytes int64
+	// repeatable says that the exchange repeats the call if its connection is not trusted.
+	repeatable bool
 }
 
-// early reports whether the call is given up on a kept connection before its time:
+// failsEarly reports whether the call is given up on a kept connection before its time:
 // it is made again, or settled by the caller.
-func (q Request) early() bool {
-	return q.again || q.Settled
+func (q Request) failsEarly() bool {
+	return q.repeatable || q.CallerResolves
 }
 
-// patience returns how long a kept connection may bring nothing: beyond the wait,
+// reusedTimeout returns how long a kept connection may bring nothing: beyond the wait,
 // half of the time that is left, so that a new one has the other half. It is zero
 // where only the context ends the call.
-func (q Request) patience(left time.Duration) time.Duration {
+func (q Request) reusedTimeout(left time.Duration) time.Duration {
 	switch {
-	case !q.early():
+	case !q.failsEarly():
 		return 0
-	case q.Stall > 0:
-		return q.Wait + q.Stall/2
+	case q.StallTimeout > 0:
+		return q.Wait + q.StallTimeout/2
 	}
 	return q.Wait + max(0, left-q.Wait)/2
 }
@@ -166,16 +166,16 @@
 // Decode reads the answer's body into v.
 func (r Reply) Decode(v any) error {
 	if err := json.Unmarshal(r.Body, v); err != nil {
-		return fmt.Errorf("%w: answer with status %d: %w", ErrUnknown, r.Status, err)
+		return fmt.Errorf("%w: answer with status %d: %w", ErrUnknownOutcome, r.Status, err)
 	}
 	return nil
 }
 
-// Repeat makes a call that may be done twice. Where its connection was kept from
+// CallIdempotent makes a call that may be done twice. Where its connection was kept from
 // earlier calls and is silent, it makes the second call, which asks the same, at
 // once on a new one, within the time of the context.
-func (x Exchange) Repeat(ctx context.Context, first, second Request) (Reply, error) {
-	first.again, second.again = true, true
+func (x HTTPClient) CallIdempotent(ctx context.Context, first, second Request) (Reply, error) {
+	first.repeatable, second.repeatable = true, true
 	a := newAttempt(ctx, x.conns, first)
 	r, err := x.do(a)
 	if !errors.Is(err, ErrSilent) {
@@ -185,33 +185,33 @@
 		r, err = x.do(newAttempt(ctx, x.conns, second))
 	}
 	if err == nil && errors.Is(context.Cause(a.ctx), errOverdue) {
-		x.conns.silences.show(first.At.String(), a.due(), time.Now())
+		x.conns.group.reportSilence(first.Address.String(), a.due(), time.Now())
 	}
 	return r, err
 }
 
 // Call sends one request. Its error is ErrNotSent where the request cannot have
 // arrived, and ErrUnknown where it may have.
-func (x Exchange) Call(ctx context.Context, q Request) (Reply, error) {
+func (x HTTPClient) Call(ctx context.Context, q Request) (Reply, error) {
 	return x.do(newAttempt(ctx, x.conns, q))
 }
 
-func (x Exchange) do(a *attempt) (Reply, error) {
+func (x HTTPClient) do(a *attempt) (Reply, error) {
 	defer a.end()
 	if a.plain {
-		r, err := x.caller.call(a)
+		r, err := x.plain.call(a)
 		if err != nil {
-			err = a.failed(err)
+			err = a.wrapError(err)
 		}
 		return r, err
 	}
 	res, err := x.open(a)
 	if err != nil {
-		return Reply{}, a.failed(err)
+		return Reply{}, a.wrapError(err)
 	}
-	r, _, err := a.read(res)
+	r, _, err := a.readReply(res)
 	if err != nil {
-		return Reply{}, a.failed(err)
+		return Reply{}, a.wrapError(err)
 	}
 	return r, nil
 }
--- a/common/exchange_test.go
+++ b/common/exchange_test.go
@@ -17,7 +17,7 @@
 
 // Calls that go out at once again use the connections of those before, up to the
 // bound.
-func TestExchangeKeepsTheConnectionsOfABurst(t *testing.T) {
+func TestClientReusesConnectionsOfABurst(t *testing.T) {
 	const burst = 12
 	var opened atomic.Int64
 	var arrived sync.WaitGroup
@@ -34,13 +34,13 @@
 	s.Start()
 	defer s.Close()
 	at := netip.MustParseAddrPort(s.Listener.Addr().String())
-	x := NewExchange(Limits{PerAddress: burst, Total: burst})
+	x := NewHTTPClient(Limits{MaxIdlePerAddress: burst, MaxIdle: burst})
 	for range 3 {
 		arrived.Add(burst)
 		var done sync.WaitGroup
 		for range burst {
 			done.Go(func() {
-				r, err := x.Call(context.Background(), Request{Method: http.MethodPost, At: at, Path: "/"})
+				r, err := x.Call(context.Background(), Request{Method: http.MethodPost, Address: at, Path: "/"})
 				if err != nil || r.Status != http.StatusOK {
 					t.Errorf("status %d, %v", r.Status, err)
 				}
@@ -59,15 +59,15 @@
 		_, _ = io.WriteString(w, `{"clock_ms":482113}`)
 	}))
 	defer s.Close()
-	x := NewExchange(Limits{PerAddress: 1, Total: 1})
-	q := Request{Method: http.MethodPost, At: netip.MustParseAddrPort(s.Listener.Addr().String()), Path: "/run-start", Body: map[string]int{"run": 7}}
+	x := NewHTTPClient(Limits{MaxIdlePerAddress: 1, MaxIdle: 1})
+	q := Request{Method: http.MethodPost, Address: netip.MustParseAddrPort(s.Listener.Addr().String()), Path: "/run-start", Body: map[string]int{"run": 7}}
 	ways := map[string]func(*attempt) error{
 		"client": func(a *attempt) error {
-			r, err := a.request(a.traced())
+			r, err := a.httpRequest(a.tracedContext())
 			if err != nil {
 				return err
 			}
-			res, err := x.client.Do(r)
+			res, err := x.encrypted.Do(r)
 			if err != nil {
 				return err
 			}
@@ -76,7 +76,7 @@
 			return err
 		},
 		"caller": func(a *attempt) error {
-			_, err := x.caller.call(a)
+			_, err := x.plain.call(a)
 			return err
 		},
 	}
@@ -100,33 +100,33 @@
 // at which its context ended, and what was to close the connection found none, as the
 // failed call had handed back nothing by then. Calls that both fail and end at once end
 // with an error only.
-func TestCallThatFailsAsItsContextEndsHarmsNothing(t *testing.T) {
+func TestCallThatFailsAsItsContextEndsReturnsAnError(t *testing.T) {
 	var end context.CancelFunc
 	conns := NewConnections(func(context.Context, string, string) (net.Conn, error) {
-		return &breaking{end: end}, nil
+		return &failingConn{cancel: end}, nil
 	})
-	x := Exchange{caller: newCaller(conns, Limits{PerAddress: 1, Total: 1}), conns: conns}
+	x := HTTPClient{plain: newPlainClient(conns, Limits{MaxIdlePerAddress: 1, MaxIdle: 1}), conns: conns}
 	for range 200 {
 		ctx, cancel := context.WithCancel(t.Context())
 		end = cancel
-		_, err := x.Call(ctx, Request{Method: http.MethodGet, At: netip.MustParseAddrPort("127.0.0.1:1"), Path: "/"})
-		require.ErrorIs(t, err, ErrUnknown)
+		_, err := x.Call(ctx, Request{Method: http.MethodGet, Address: netip.MustParseAddrPort("127.0.0.1:1"), Path: "/"})
+		require.ErrorIs(t, err, ErrUnknownOutcome)
 	}
 }
 
-// breaking is a connection that breaks at the first write, as its call's context ends.
-type breaking struct {
+// failingConn is a connection that breaks at the first write, as its call's context ends.
+type failingConn struct {
 	net.Conn
-	end context.CancelFunc
+	cancel context.CancelFunc
 }
 
 // Write ends the context and fails.
-func (c *breaking) Write([]byte) (int, error) {
-	c.end()
+func (c *failingConn) Write([]byte) (int, error) {
+	c.cancel()
 	return 0, io.ErrClosedPipe
 }
 
 // Close does nothing.
-func (c *breaking) Close() error {
+func (c *failingConn) Close() error {
 	return nil
 }
--- a/common/heap.go
+++ b/common/heap.go
@@ -21,7 +21,7 @@
 
 // Len returns the number of items.
 func (h *Heap[T]) Len() int {
-	return len(h.items.slots)
+	return len(h.items.entries)
 }
 
 // Push adds an item and returns its slot.
@@ -37,7 +37,7 @@
 		var z T
 		return z, false
 	}
-	return h.items.slots[0].Value, true
+	return h.items.entries[0].Value, true
 }
 
 // Pop removes and returns the least item, or false where there is none.
@@ -61,25 +61,25 @@
 
 // heapItems implements heap.Interface.
 type heapItems[T any] struct {
-	slots []*HeapEntry[T]
-	less  func(a, b T) bool
+	entries []*HeapEntry[T]
+	less    func(a, b T) bool
 }
 
 // Len is part of heap.Interface.
 func (h *heapItems[T]) Len() int {
-	return len(h.slots)
+	return len(h.entries)
 }
 
 // Less is part of heap.Interface.
 func (h *heapItems[T]) Less(i, j int) bool {
-	return h.less(h.slots[i].Value, h.slots[j].Value)
+	return h.less(h.entries[i].Value, h.entries[j].Value)
 }
 
 // Swap is part of heap.Interface.
 func (h *heapItems[T]) Swap(i, j int) {
-	h.slots[i], h.slots[j] = h.slots[j], h.slots[i]
-	h.slots[i].index = i
-	h.slots[j].index = j
+	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
+	h.entries[i].index = i
+	h.entries[j].index = j
 }
 
 // Push is part of heap.Interface.
@@ -88,16 +88,16 @@
 	if !ok {
 		return
 	}
-	s.index = len(h.slots)
-	h.slots = append(h.slots, s)
+	s.index = len(h.entries)
+	h.entries = append(h.entries, s)
 }
 
 // Pop is part of heap.Interface.
 func (h *heapItems[T]) Pop() any {
-	n := len(h.slots) - 1
-	s := h.slots[n]
-	h.slots[n] = nil
-	h.slots = h.slots[:n]
+	n := len(h.entries) - 1
+	s := h.entries[n]
+	h.entries[n] = nil
+	h.entries = h.entries[:n]
 	s.index = -1
 	return s
 }
--- a/common/pool.go
+++ b/common/pool.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// arrivesWithin is what a request may take to the other side on a kept connection.
-const arrivesWithin = 500 * time.Millisecond
+// maxRequestTransit is what a request may take to the other side on a kept connection.
+const maxRequestTransit = 500 * time.Millisecond
 
-// kept is an open connection with what is read ahead of it.
-type kept struct {
+// pooledConn is an open connection with what is read ahead of it.
+type pooledConn struct {
 	net.Conn
 	reader *bufio.Reader
 	// address is where it leads, idleUntil when it is closed unless it is used.
@@ -32,29 +32,29 @@
 type pool struct {
 	Limits
 	mu        sync.Mutex
-	byAddress map[string][]*kept
+	byAddress map[string][]*pooledConn
 	// idle are all of them, the one that was used last in front.
 	idle *list.List
 }
 
 func newPool(l Limits) *pool {
-	return &pool{Limits: l, byAddress: map[string][]*kept{}, idle: list.New()}
+	return &pool{Limits: l, byAddress: map[string][]*pooledConn{}, idle: list.New()}
 }
 
 // take returns an idle connection to the address whose time has not passed and on which
 // nothing has come since, or nil.
-func (p *pool) take(address string, now time.Time) *kept {
+func (p *pool) take(address string, now time.Time) *pooledConn {
 	for {
-		k := p.last(address)
-		if k == nil || (now.Before(k.idleUntil) && k.quiet()) {
+		k := p.takeNewest(address)
+		if k == nil || (now.Before(k.idleUntil) && k.usable()) {
 			return k
 		}
 		_ = k.Close()
 	}
 }
 
-// last takes the connection to the address that was used last, or returns nil.
-func (p *pool) last(address string) *kept {
+// takeNewest takes the connection to the address that was used last, or returns nil.
+func (p *pool) takeNewest(address string) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.byAddress[address]
@@ -67,9 +67,9 @@
 }
 
 // remove takes the connection off the lists.
-func (p *pool) remove(k *kept) {
+func (p *pool) remove(k *pooledConn) {
 	p.idle.Remove(k.element)
-	l := slices.DeleteFunc(p.byAddress[k.address], func(o *kept) bool { return o == k })
+	l := slices.DeleteFunc(p.byAddress[k.address], func(o *pooledConn) bool { return o == k })
 	p.byAddress[k.address] = l
 	if len(l) == 0 {
 		delete(p.byAddress, k.address)
@@ -78,26 +78,26 @@
 
 // put keeps the connection for a time, and closes those that are beyond the pool's limits
 // or their time.
-func (p *pool) put(k *kept, now time.Time, idle time.Duration) {
-	for _, o := range p.keep(k, now, idle) {
+func (p *pool) put(k *pooledConn, now time.Time, idle time.Duration) {
+	for _, o := range p.insert(k, now, idle) {
 		_ = o.Close()
 	}
 }
 
-// keep returns the connections that are kept no more.
-func (p *pool) keep(k *kept, now time.Time, idle time.Duration) []*kept {
+// insert returns the connections that are kept no more.
+func (p *pool) insert(k *pooledConn, now time.Time, idle time.Duration) []*pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.byAddress[k.address]) >= max(1, p.PerAddress) {
-		return []*kept{k}
+	if len(p.byAddress[k.address]) >= max(1, p.MaxIdlePerAddress) {
+		return []*pooledConn{k}
 	}
 	k.idleUntil = now.Add(idle)
 	k.element = p.idle.PushFront(k)
 	p.byAddress[k.address] = append(p.byAddress[k.address], k)
-	var over []*kept
+	var over []*pooledConn
 	for e := p.idle.Back(); e != nil; e = p.idle.Back() {
-		o, ok := e.Value.(*kept)
-		if !ok || (now.Before(o.idleUntil) && (p.Total == 0 || p.idle.Len() <= p.Total)) {
+		o, ok := e.Value.(*pooledConn)
+		if !ok || (now.Before(o.idleUntil) && (p.MaxIdle == 0 || p.idle.Len() <= p.MaxIdle)) {
 			break
 		}
 		p.remove(o)
@@ -106,9 +106,9 @@
 	return over
 }
 
-// quiet reports whether the connection is open and nothing has come on it: nobody reads
+// usable reports whether the connection is open and nothing has come on it: nobody reads
 // from an idle one, so that its end shows only to who looks.
-func (k *kept) quiet() bool {
+func (k *pooledConn) usable() bool {
 	if k.reader.Buffered() > 0 {
 		return false
 	}
@@ -136,17 +136,17 @@
 	return err == nil && quiet
 }
 
-// usableIdle returns for how long a connection may be used again after an answer with the
+// reuseTimeout returns for how long a connection may be used again after an answer with the
 // headers, which may tell when the other side closes it (RFC 2068, section 19.7.1.1). A
 // request has to arrive before that.
-func usableIdle(h http.Header) time.Duration {
+func reuseTimeout(h http.Header) time.Duration {
 	for p := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(p), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.ParseUint(v, 10, 16); err == nil {
-			return min(idleTimeout, max(0, time.Duration(n)*time.Second-arrivesWithin))
+			return min(idleTimeout, max(0, time.Duration(n)*time.Second-maxRequestTransit))
 		}
 	}
 	return idleTimeout
--- a/common/pool_test.go
+++ b/common/pool_test.go
@@ -26,9 +26,9 @@
 	}
 	s.Start()
 	defer s.Close()
-	x := NewExchange(Limits{PerAddress: 1})
-	q := Request{Method: http.MethodPost, At: netip.MustParseAddrPort(s.Listener.Addr().String()), Path: "/"}
-	for _, pause := range []time.Duration{0, 0, arrivesWithin + 200*time.Millisecond} {
+	x := NewHTTPClient(Limits{MaxIdlePerAddress: 1})
+	q := Request{Method: http.MethodPost, Address: netip.MustParseAddrPort(s.Listener.Addr().String()), Path: "/"}
+	for _, pause := range []time.Duration{0, 0, maxRequestTransit + 200*time.Millisecond} {
 		time.Sleep(pause)
 		_, err := x.Call(t.Context(), q)
 		require.NoError(t, err)
@@ -36,11 +36,11 @@
 	require.Equal(t, int64(2), opened.Load())
 }
 
-func TestKeepAliveTellsHowLongAConnectionMayBeUsed(t *testing.T) {
+func TestKeepAliveHeaderLimitsReuse(t *testing.T) {
 	for v, want := range map[string]time.Duration{
 		"":                          idleTimeout,
-		"timeout=3":                 3*time.Second - arrivesWithin,
-		"max=100, Timeout=5":        5*time.Second - arrivesWithin,
+		"timeout=3":                 3*time.Second - maxRequestTransit,
+		"max=100, Timeout=5":        5*time.Second - maxRequestTransit,
 		"timeout=0":                 0,
 		"timeout=3600":              idleTimeout,
 		"timeout=-1":                idleTimeout,
@@ -48,6 +48,6 @@
 		"timeout":                   idleTimeout,
 		"timeout=99999999999999999": idleTimeout,
 	} {
-		require.Equal(t, want, usableIdle(http.Header{"Keep-Alive": {v}}), v)
+		require.Equal(t, want, reuseTimeout(http.Header{"Keep-Alive": {v}}), v)
 	}
 }
--- a/common/problem.go
+++ b/common/problem.go
@@ -19,13 +19,13 @@
 	// HeaderDeadline carries the point in time, as RFC 3339, after which the
 	// caller has no use for the answer.
 	HeaderDeadline = "Amberway-Deadline"
-	// HeaderID carries the id of the request to the target and back.
-	HeaderID = "Amberway-Request-Id"
+	// HeaderRequestID carries the id of the request to the target and back.
+	HeaderRequestID = "Amberway-Request-Id"
 	// HeaderHop marks a request that another data centre has passed on.
 	HeaderHop = "Amberway-Hop"
-	// HeaderKey carries the caller's id of a request, by the convention of the
+	// HeaderIdempotencyKey carries the caller's id of a request, by the convention of the
 	// IETF draft on idempotency keys.
-	HeaderKey = "Idempotency-Key"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // ProblemError is an RFC 9457 problem with the verdict on the request.
--- a/common/pulse.go
+++ b/common/pulse.go
@@ -8,29 +8,29 @@
 
 // Times of a Pulse.
 const (
-	// pulseEvery is the time between two beats.
-	pulseEvery = 100 * time.Millisecond
-	// pulseGap is the time without a beat that counts as a pause.
-	pulseGap = time.Second
-	// pulseTrust is how long after a pause the process waits at most for what
+	// heartbeatInterval is the time between two beats.
+	heartbeatInterval = 100 * time.Millisecond
+	// pauseThreshold is the time without a beat that counts as a pause.
+	pauseThreshold = time.Second
+	// maxRecovery is how long after a pause the process waits at most for what
 	// it has to learn anew.
-	pulseTrust = 5 * time.Second
+	maxRecovery = 5 * time.Second
 )
 
 // PauseDetector notices that the whole process was paused, so that what it knew before
 // is not acted on afterwards.
 type PauseDetector struct {
 	now func() time.Time
-	// beat is the last beat, in nanoseconds since 1970 by the wall clock.
-	beat atomic.Int64
-	// trustAt is when the process trusts what it knows in any case.
-	trustAt atomic.Int64
+	// lastHeartbeat is the last beat, in nanoseconds since 1970 by the wall clock.
+	lastHeartbeat atomic.Int64
+	// recoveredBy is when the process trusts what it knows in any case.
+	recoveredBy atomic.Int64
 }
 
-// NewPulse returns a pulse that has just beaten.
-func NewPulse(now func() time.Time) *PauseDetector {
+// NewPauseDetector returns a pulse that has just beaten.
+func NewPauseDetector(now func() time.Time) *PauseDetector {
 	p := &PauseDetector{now: now}
-	p.beat.Store(now().UnixNano())
+	p.lastHeartbeat.Store(now().UnixNano())
 	return p
 }
 
@@ -38,39 +38,39 @@
 // the process again once learn returns nil.
 func (p *PauseDetector) Run(ctx context.Context, learn func(context.Context) error) {
 	for ctx.Err() == nil {
-		if p.Beat(p.now()) {
-			go p.relearn(ctx, learn)
+		if p.Heartbeat(p.now()) {
+			go p.reload(ctx, learn)
 		}
-		Sleep(ctx, pulseEvery)
+		Sleep(ctx, heartbeatInterval)
 	}
 }
 
-// Beat notes that the process runs. It reports whether it was paused before.
-func (p *PauseDetector) Beat(now time.Time) bool {
-	paused := p.gap(now)
+// Heartbeat notes that the process runs. It reports whether it was paused before.
+func (p *PauseDetector) Heartbeat(now time.Time) bool {
+	paused := p.heartbeatMissed(now)
 	if paused {
-		p.trustAt.Store(now.Add(pulseTrust).UnixNano())
+		p.recoveredBy.Store(now.Add(maxRecovery).UnixNano())
 	}
-	p.beat.Store(now.UnixNano())
+	p.lastHeartbeat.Store(now.UnixNano())
 	return paused
 }
 
-func (p *PauseDetector) relearn(ctx context.Context, learn func(context.Context) error) {
-	for ctx.Err() == nil && p.Suspended(p.now()) {
+func (p *PauseDetector) reload(ctx context.Context, learn func(context.Context) error) {
+	for ctx.Err() == nil && p.Recovering(p.now()) {
 		if learn(ctx) == nil {
-			p.trustAt.Store(0)
+			p.recoveredBy.Store(0)
 			return
 		}
-		Sleep(ctx, pulseEvery)
+		Sleep(ctx, heartbeatInterval)
 	}
 }
 
-// Suspended reports whether the process has just been paused and must not act
+// Recovering reports whether the process has just been paused and must not act
 // yet on what it knew.
-func (p *PauseDetector) Suspended(now time.Time) bool {
-	return p.gap(now) || now.UnixNano() < p.trustAt.Load()
+func (p *PauseDetector) Recovering(now time.Time) bool {
+	return p.heartbeatMissed(now) || now.UnixNano() < p.recoveredBy.Load()
 }
 
-func (p *PauseDetector) gap(now time.Time) bool {
-	return now.UnixNano()-p.beat.Load() > int64(pulseGap)
+func (p *PauseDetector) heartbeatMissed(now time.Time) bool {
+	return now.UnixNano()-p.lastHeartbeat.Load() > int64(pauseThreshold)
 }
--- a/common/rendezvous.go
+++ b/common/rendezvous.go
@@ -24,9 +24,9 @@
 	return r
 }
 
-// First returns the name with the highest rendezvous score for the key, and
+// RankFirst returns the name with the highest rendezvous score for the key, and
 // the empty string where there are no names.
-func First(key string, names []string) string {
+func RankFirst(key string, names []string) string {
 	best := ""
 	top := uint64(0)
 	for _, n := range names {
--- a/common/stall_test.go
+++ b/common/stall_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dribble answers with some parts, a pause before each, and goes on for good if asked
+// newSlowServer answers with some parts, a pause before each, and goes on for good if asked
 // for more than there are.
-func dribble(t *testing.T, parts int, pause time.Duration, hang bool) netip.AddrPort {
+func newSlowServer(t *testing.T, parts int, pause time.Duration, hang bool) netip.AddrPort {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for range parts {
@@ -30,37 +30,37 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// TestAnswerThatGoesOnIsNotSilent has an answer of 0.9 s whose parts come each 0.1 s, on
+// TestSlowAnswerThatMakesProgressIsNotSilent has an answer of 0.9 s whose parts come each 0.1 s, on
 // a new connection and on a kept one: it may bring nothing for 0.4 s only.
-func TestAnswerThatGoesOnIsNotSilent(t *testing.T) {
-	x := NewExchange(Limits{PerAddress: 2})
-	q := Request{Method: http.MethodGet, At: dribble(t, 9, 100*time.Millisecond, false), Path: "/list", Stall: 400 * time.Millisecond}
+func TestSlowAnswerThatMakesProgressIsNotSilent(t *testing.T) {
+	x := NewHTTPClient(Limits{MaxIdlePerAddress: 2})
+	q := Request{Method: http.MethodGet, Address: newSlowServer(t, 9, 100*time.Millisecond, false), Path: "/list", StallTimeout: 400 * time.Millisecond}
 	for range 2 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		r, err := x.Repeat(ctx, q, q)
+		r, err := x.CallIdempotent(ctx, q, q)
 		cancel()
 		require.NoError(t, err)
 		require.Len(t, r.Body, 36)
 	}
 }
 
-// TestAnswerThatStopsHalfwayIsGivenUp has one that brings nothing more.
-func TestAnswerThatStopsHalfwayIsGivenUp(t *testing.T) {
-	x := NewExchange(Limits{PerAddress: 2})
-	q := Request{Method: http.MethodGet, At: dribble(t, 2, 10*time.Millisecond, true), Path: "/list", Stall: 200 * time.Millisecond}
+// TestStalledAnswerFails has one that brings nothing more.
+func TestStalledAnswerFails(t *testing.T) {
+	x := NewHTTPClient(Limits{MaxIdlePerAddress: 2})
+	q := Request{Method: http.MethodGet, Address: newSlowServer(t, 2, 10*time.Millisecond, true), Path: "/list", StallTimeout: 200 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	begun := time.Now()
-	_, err := x.Repeat(ctx, q, q)
-	require.ErrorIs(t, err, ErrUnknown)
+	_, err := x.CallIdempotent(ctx, q, q)
+	require.ErrorIs(t, err, ErrUnknownOutcome)
 	require.Less(t, time.Since(begun), 2*time.Second)
 }
 
 func TestTrafficIsCountedByKind(t *testing.T) {
-	x := NewExchange(Limits{PerAddress: 2})
-	at := dribble(t, 1, 0, false)
+	x := NewHTTPClient(Limits{MaxIdlePerAddress: 2})
+	at := newSlowServer(t, 1, 0, false)
 	for _, p := range []string{"/list?after=1", "/list?after=2", "/keep/7"} {
-		_, err := x.Call(t.Context(), Request{Method: http.MethodGet, At: at, Path: p})
+		_, err := x.Call(t.Context(), Request{Method: http.MethodGet, Address: at, Path: p})
 		require.NoError(t, err)
 	}
 	c := x.Connections().Traffic().Counts()
--- a/common/traffic.go
+++ b/common/traffic.go
@@ -40,8 +40,8 @@
 	t.kinds[kind] = c
 }
 
-// kindOf returns the first part of a path.
-func kindOf(path string) string {
+// callKind returns the first part of a path.
+func callKind(path string) string {
 	k := strings.TrimPrefix(path, "/")
 	if i := strings.IndexAny(k, "/?"); i >= 0 {
 		k = k[:i]
--- a/config/adopter.go
+++ b/config/adopter.go
@@ -72,14 +72,14 @@
 	if err != nil {
 		return nil, err
 	}
-	a.trim(a.pending)
+	a.dropUnused(a.pending)
 	a.current = &Snapshot{Head: a.pending, Document: d, Blobs: maps.Clone(a.blobs), AdoptedAt: now}
 	a.pending = nil
 	return a.current, nil
 }
 
-// trim drops the sections that the head does not name.
-func (a *Adopter) trim(h *Head) {
+// dropUnused drops the sections that the head does not name.
+func (a *Adopter) dropUnused(h *Head) {
 	keep := map[Hash]bool{}
 	for _, v := range h.Sections {
 		keep[v] = true
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -21,11 +21,11 @@
 	return d
 }
 
-// change makes the next head with one section changed, and returns it with the
+// changeOneSection makes the next head with one section changed, and returns it with the
 // section that an adopter of the one before lacks.
-func change(b *testing.B, a *Adopter, d *Document, n int) (*Head, map[Hash][]byte) {
+func changeOneSection(b *testing.B, a *Adopter, d *Document, n int) (*Head, map[Hash][]byte) {
 	b.Helper()
-	d.Pools[0].Budget.Available = map[string]int{"north": n % 7}
+	d.Pools[0].Budget.MinAvailable = map[string]int{"north": n % 7}
 	next, all, err := a.Current().Head.next(d, "next")
 	if err != nil {
 		b.Fatal(err)
@@ -57,7 +57,7 @@
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		next, one := change(b, a, d, n)
+		next, one := changeOneSection(b, a, d, n)
 		a.Offer(next)
 		if _, err := a.Supply(time.Now(), one); err != nil {
 			b.Fatal(err)
--- a/config/check.go
+++ b/config/check.go
@@ -12,80 +12,80 @@
 
 // Values that stand where a document says nothing.
 const (
-	defaultQuickPatience   = 2 * time.Second
-	defaultPatientPatience = 10 * time.Minute
-	defaultRunTime         = 100 * time.Millisecond
+	defaultQuickTimeout   = 2 * time.Second
+	defaultPatientTimeout = 10 * time.Minute
+	defaultRunTime        = 100 * time.Millisecond
 )
 
-// MaxPatience bounds a job's patience and every request's deadline.
-const MaxPatience = time.Hour
+// MaxTimeout bounds a job's patience and every request's deadline.
+const MaxTimeout = time.Hour
 
-var nameRule = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Fault is one thing wrong with a document.
-type Fault struct {
-	// Place is the path of the field, for example pools[2].team.
-	Place string `json:"place"`
+// Violation is one thing wrong with a document.
+type Violation struct {
+	// Path is the path of the field, for example pools[2].team.
+	Path string `json:"place"`
 	// Reason says what is wrong with it.
 	Reason string `json:"reason"`
 }
 
-// FaultsError is every fault of one document.
-type FaultsError []Fault
+// ValidationError is every fault of one document.
+type ValidationError []Violation
 
 // Error lists each fault on a line of its own.
-func (f FaultsError) Error() string {
+func (f ValidationError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "config: %d faults", len(f))
 	for _, v := range f {
-		fmt.Fprintf(&b, "\n  %s: %s", v.Place, v.Reason)
+		fmt.Fprintf(&b, "\n  %s: %s", v.Path, v.Reason)
 	}
 	return b.String()
 }
 
-// fill sets what may be left out.
-func (d *Document) fill() {
+// setDefaults sets what may be left out.
+func (d *Document) setDefaults() {
 	if d.Placement == (Placement{}) {
 		d.Placement = Placement{MoveWeight: 1, BufferWeight: 1}
 	}
 	for i := range d.Services {
-		d.Services[i].fill()
+		d.Services[i].setDefaults()
 	}
 	for i := range d.Waves {
-		d.Waves[i].fill()
+		d.Waves[i].setDefaults()
 	}
 }
 
-func (s *Service) fill() {
+func (s *Service) setDefaults() {
 	if s.Weight == 0 {
 		s.Weight = 1
 	}
 	for i := range s.Jobs {
-		s.Jobs[i].fill()
+		s.Jobs[i].setDefaults()
 	}
 }
 
-func (j *Job) fill() {
+func (j *Job) setDefaults() {
 	if j.RunTime == 0 {
 		j.RunTime = defaultRunTime
 	}
-	if j.Patience == 0 && j.Class == common.Quick {
-		j.Patience = defaultQuickPatience
+	if j.Timeout == 0 && j.Class == common.Quick {
+		j.Timeout = defaultQuickTimeout
 	}
-	if j.Patience == 0 {
-		j.Patience = defaultPatientPatience
+	if j.Timeout == 0 {
+		j.Timeout = defaultPatientTimeout
 	}
 }
 
-func (w *Wave) fill() {
+func (w *Wave) setDefaults() {
 	if w.State == "" {
 		w.State = WavePlanned
 	}
-	if w.Limit == 0 {
-		w.Limit = 1
+	if w.MaxInMaintenance == 0 {
+		w.MaxInMaintenance = 1
 	}
-	if w.Failures == 0 {
-		w.Failures = 1
+	if w.FailureLimit == 0 {
+		w.FailureLimit = 1
 	}
 }
 
@@ -98,45 +98,45 @@
 	c.overlaps()
 	c.services()
 	c.waves()
-	if len(c.faults) == 0 {
+	if len(c.violations) == 0 {
 		return nil
 	}
-	return c.faults
+	return c.violations
 }
 
 type checker struct {
-	doc    *Document
-	faults FaultsError
+	doc        *Document
+	violations ValidationError
 }
 
-func (c *checker) faultf(place, format string, a ...any) {
-	c.faults = append(c.faults, Fault{Place: place, Reason: fmt.Sprintf(format, a...)})
+func (c *checker) addf(place, format string, a ...any) {
+	c.violations = append(c.violations, Violation{Path: place, Reason: fmt.Sprintf(format, a...)})
 }
 
 // name checks one name and that it is the first of its kind.
 func (c *checker) name(place, name string, seen map[string]bool) {
-	if !nameRule.MatchString(name) {
-		c.faultf(place+".name", "%q is no name: lower-case letters, digits and hyphens, at most 63", name)
+	if !namePattern.MatchString(name) {
+		c.addf(place+".name", "%q is no name: lower-case letters, digits and hyphens, at most 63", name)
 	}
 	if seen[name] {
-		c.faultf(place+".name", "%q stands twice", name)
+		c.addf(place+".name", "%q stands twice", name)
 	}
 	seen[name] = true
 }
 
 func (c *checker) root() {
-	if !nameRule.MatchString(c.doc.Operator) {
-		c.faultf("operator", "%q is no name", c.doc.Operator)
+	if !namePattern.MatchString(c.doc.Operator) {
+		c.addf("operator", "%q is no name", c.doc.Operator)
 	}
 	if len(c.doc.DataCentres) == 0 {
-		c.faultf("data_centres", "there are none")
+		c.addf("data_centres", "there are none")
 	}
 	seen := map[string]bool{}
 	for i, n := range c.doc.DataCentres {
 		c.name(fmt.Sprintf("data_centres[%d]", i), n, seen)
 	}
 	if c.doc.Placement.MoveWeight < 0 || c.doc.Placement.BufferWeight < 0 {
-		c.faultf("placement", "weights are not below zero")
+		c.addf("placement", "weights are not below zero")
 	}
 }
 
@@ -145,8 +145,8 @@
 	for i, t := range c.doc.Teams {
 		p := fmt.Sprintf("teams[%d]", i)
 		c.name(p, t.Name, seen)
-		if t.Hosts < 0 || t.Accelerators < 0 {
-			c.faultf(p, "a quota is not below zero")
+		if t.MaxHosts < 0 || t.MaxAccelerators < 0 {
+			c.addf(p, "a quota is not below zero")
 		}
 	}
 }
@@ -157,14 +157,14 @@
 		p := fmt.Sprintf("pools[%d]", i)
 		c.name(p, o.Name, seen)
 		if !slices.ContainsFunc(c.doc.Teams, func(t Team) bool { return t.Name == o.Team }) {
-			c.faultf(p+".team", "there is no team %q", o.Team)
+			c.addf(p+".team", "there is no team %q", o.Team)
 		}
 		if len(o.Select) == 0 {
-			c.faultf(p+".select", "it selects nothing")
+			c.addf(p+".select", "it selects nothing")
 		}
 		for k, l := range o.Select {
 			if len(l) == 0 {
-				c.faultf(p+".select."+k, "it has no values")
+				c.addf(p+".select."+k, "it has no values")
 			}
 		}
 		c.budget(p+".budget", o.Budget)
@@ -172,12 +172,12 @@
 }
 
 func (c *checker) budget(place string, b Budget) {
-	for dc, n := range b.Available {
+	for dc, n := range b.MinAvailable {
 		if !slices.Contains(c.doc.DataCentres, dc) {
-			c.faultf(place+".available", "there is no data centre %q", dc)
+			c.addf(place+".available", "there is no data centre %q", dc)
 		}
 		if n < 0 {
-			c.faultf(place+".available."+dc, "%d is below zero", n)
+			c.addf(place+".available."+dc, "%d is below zero", n)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		return
 	}
 	p := fmt.Sprintf("pools[%d].select", j)
-	c.faultf(p, "a host could be in pool %s (%s) and in pool %s (%s): give both a label with different values",
+	c.addf(p, "a host could be in pool %s (%s) and in pool %s (%s): give both a label with different values",
 		a.Name, a.Select, b.Name, b.Select)
 }
 
@@ -212,13 +212,13 @@
 		p := fmt.Sprintf("services[%d]", i)
 		c.name(p, s.Name, seen)
 		if _, ok := c.doc.Pool(s.Pool); !ok {
-			c.faultf(p+".pool", "there is no pool %q", s.Pool)
+			c.addf(p+".pool", "there is no pool %q", s.Pool)
 		}
 		if s.Weight < 1 {
-			c.faultf(p+".weight", "%d is below one", s.Weight)
+			c.addf(p+".weight", "%d is below one", s.Weight)
 		}
 		if len(s.Jobs) == 0 {
-			c.faultf(p+".jobs", "there are none")
+			c.addf(p+".jobs", "there are none")
 		}
 		jobs := map[string]bool{}
 		for j, v := range s.Jobs {
@@ -231,13 +231,13 @@
 
 func (c *checker) job(place string, j Job) {
 	if j.RunTime < 0 {
-		c.faultf(place+".run_time", "%s is below zero", j.RunTime)
+		c.addf(place+".run_time", "%s is below zero", j.RunTime)
 	}
-	if j.Patience <= 0 || j.Patience > MaxPatience {
-		c.faultf(place+".patience", "%s is not between zero and %s", j.Patience, MaxPatience)
+	if j.Timeout <= 0 || j.Timeout > MaxTimeout {
+		c.addf(place+".patience", "%s is not between zero and %s", j.Timeout, MaxTimeout)
 	}
 	if j.Replicas < 0 || j.Processors < 0 || j.MemoryBytes < 0 || j.Accelerators < 0 {
-		c.faultf(place, "replicas, processors, memory_bytes and accelerators are not below zero")
+		c.addf(place, "replicas, processors, memory_bytes and accelerators are not below zero")
 	}
 }
 
@@ -248,17 +248,17 @@
 		c.name(p, w.Name, seen)
 		for j, n := range w.Pools {
 			if _, ok := c.doc.Pool(n); !ok {
-				c.faultf(fmt.Sprintf("%s.pools[%d]", p, j), "there is no pool %q", n)
+				c.addf(fmt.Sprintf("%s.pools[%d]", p, j), "there is no pool %q", n)
 			}
 		}
 		if !slices.Contains([]WaveState{WavePlanned, WaveRunning, WavePaused, WaveAborted}, w.State) {
-			c.faultf(p+".state", "%q is none of planned, running, paused, aborted", w.State)
+			c.addf(p+".state", "%q is none of planned, running, paused, aborted", w.State)
 		}
-		if w.Limit < 1 {
-			c.faultf(p+".limit", "%d is below one", w.Limit)
+		if w.MaxInMaintenance < 1 {
+			c.addf(p+".limit", "%d is below one", w.MaxInMaintenance)
 		}
-		if w.Failures < 1 {
-			c.faultf(p+".failures", "%d is below one", w.Failures)
+		if w.FailureLimit < 1 {
+			c.addf(p+".failures", "%d is below one", w.FailureLimit)
 		}
 	}
 }
--- a/config/decode.go
+++ b/config/decode.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.fill()
+	d.setDefaults()
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -31,13 +31,13 @@
 // Team owns pools and has a quota.
 type Team struct {
 	Name string `yaml:"name" json:"name"`
-	// Hosts is the most hosts that the team's pools may own together in each
+	// MaxHosts is the most hosts that the team's pools may own together in each
 	// data centre; zero means no bound. It is counted for each data centre so
 	// that it holds while they cannot hear each other.
-	Hosts int `yaml:"hosts" json:"hosts"`
-	// Accelerators is the most accelerators of those hosts in each data
+	MaxHosts int `yaml:"hosts" json:"hosts"`
+	// MaxAccelerators is the most accelerators of those hosts in each data
 	// centre; zero means no bound.
-	Accelerators int `yaml:"accelerators" json:"accelerators"`
+	MaxAccelerators int `yaml:"accelerators" json:"accelerators"`
 }
 
 // Pool is a set of hosts that a selector picks by their labels.
@@ -51,8 +51,8 @@
 // Budget is a pool's availability budget, divided into an allowance for each
 // data centre so that it holds while they cannot hear each other.
 type Budget struct {
-	// Available is the least number of hosts in service in each data centre.
-	Available map[string]int `yaml:"available" json:"available"`
+	// MinAvailable is the least number of hosts in service in each data centre.
+	MinAvailable map[string]int `yaml:"available" json:"available"`
 }
 
 // Service takes requests and runs them on the hosts of one pool.
@@ -73,8 +73,8 @@
 	// RunTime is the declared time of one run. It is a first guess; what is
 	// measured replaces it.
 	RunTime time.Duration `yaml:"run_time" json:"run_time"`
-	// Patience is how long a request without a deadline of its own may take.
-	Patience time.Duration `yaml:"patience" json:"patience"`
+	// Timeout is how long a request without a deadline of its own may take.
+	Timeout time.Duration `yaml:"patience" json:"patience"`
 	// Replicas is the number of workers that have to hold the job; zero means
 	// every worker of the pool.
 	Replicas     int   `yaml:"replicas" json:"replicas"`
@@ -99,11 +99,11 @@
 	Name  string    `yaml:"name" json:"name"`
 	Pools []string  `yaml:"pools" json:"pools"`
 	State WaveState `yaml:"state" json:"state"`
-	// Limit is the most hosts of one data centre in maintenance at once.
-	Limit int `yaml:"limit" json:"limit"`
-	// Failures is how many hosts of one data centre may stay away before the
+	// MaxInMaintenance is the most hosts of one data centre in maintenance at once.
+	MaxInMaintenance int `yaml:"limit" json:"limit"`
+	// FailureLimit is how many hosts of one data centre may stay away before the
 	// wave stops there.
-	Failures int `yaml:"failures" json:"failures"`
+	FailureLimit int `yaml:"failures" json:"failures"`
 }
 
 // Pool returns the pool with the name, or false.
--- a/config/follower.go
+++ b/config/follower.go
@@ -21,13 +21,13 @@
 	Sections(ctx context.Context, l []Hash) (map[Hash][]byte, error)
 }
 
-// listAbove is how many missing sections are read by one list instead of one
+// listThreshold is how many missing sections are read by one list instead of one
 // by one.
-const listAbove = 8
+const listThreshold = 8
 
-// confirmEvery is how often the head is read although the watch is silent. It
+// rereadInterval is how often the head is read although the watch is silent. It
 // bounds how long a watch that has died unnoticed goes unnoticed.
-const confirmEvery = 20 * time.Second
+const rereadInterval = 20 * time.Second
 
 // Follower keeps the configuration in force up to date from the platform and
 // from peers.
@@ -38,9 +38,9 @@
 	mu      sync.Mutex
 	adopter *Adopter
 	current atomic.Pointer[Snapshot]
-	// adopted is the revision of the newest head read and put in force.
-	adopted platform.Revision
-	onAdopt []func(*Snapshot)
+	// headRevision is the revision of the newest head read and put in force.
+	headRevision platform.Revision
+	onAdopt      []func(*Snapshot)
 }
 
 // NewFollower returns a follower of the store's head. Each function is called
@@ -74,7 +74,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if f.now().Sub(start) > confirmEvery/2 {
+		if f.now().Sub(start) > rereadInterval/2 {
 			b.Reset()
 		}
 		f.log.Warnf("platform not followed: %v", err)
@@ -86,50 +86,50 @@
 // confirmed by a new read.
 func (f *Follower) follow(ctx context.Context) error {
 	for {
-		rev, err := f.read(ctx)
+		rev, err := f.readHead(ctx)
 		if err != nil {
 			return err
 		}
-		if err := f.watch(ctx, rev); err != nil {
+		if err := f.watchHead(ctx, rev); err != nil {
 			return err
 		}
 	}
 }
 
-func (f *Follower) read(ctx context.Context) (platform.Revision, error) {
-	e, ok, err := f.store.GetAfter(ctx, HeadKey, f.adopted)
+func (f *Follower) readHead(ctx context.Context) (platform.Revision, error) {
+	e, ok, err := f.store.GetAfter(ctx, HeadKey, f.headRevision)
 	if err != nil {
 		return 0, err
 	}
-	f.confirm()
+	f.markConfirmed()
 	if !ok {
-		return f.adopted, nil
+		return f.headRevision, nil
 	}
 	h, err := DecodeHead(e.Value)
 	if err != nil {
 		return 0, err
 	}
-	if err := f.offer(ctx, h, platformSource{f.store}); err != nil {
+	if err := f.adopt(ctx, h, platformSource{f.store}); err != nil {
 		return 0, err
 	}
-	f.adopted = e.Revision
-	return f.adopted, nil
+	f.headRevision = e.Revision
+	return f.headRevision, nil
 }
 
-// watch returns nil when it is time to confirm the head by a read.
-func (f *Follower) watch(ctx context.Context, rev platform.Revision) error {
-	d := confirmEvery + rand.N(confirmEvery/4)
+// watchHead returns nil when it is time to confirm the head by a read.
+func (f *Follower) watchHead(ctx context.Context, rev platform.Revision) error {
+	d := rereadInterval + rand.N(rereadInterval/4)
 	wctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
-	err := f.store.Watch(wctx, HeadKey, rev, func(l []platform.Event) { f.events(wctx, l) })
+	err := f.store.Watch(wctx, HeadKey, rev, func(l []platform.Event) { f.applyEvents(wctx, l) })
 	if wctx.Err() != nil && ctx.Err() == nil {
 		return nil
 	}
 	return err
 }
 
-func (f *Follower) events(ctx context.Context, l []platform.Event) {
-	f.confirm()
+func (f *Follower) applyEvents(ctx context.Context, l []platform.Event) {
+	f.markConfirmed()
 	for _, e := range l {
 		if e.Key != HeadKey || e.Deleted {
 			continue
@@ -139,29 +139,29 @@
 			f.log.Errorf("head not understood: %v", err)
 			continue
 		}
-		if err := f.offer(ctx, h, platformSource{f.store}); err != nil {
+		if err := f.adopt(ctx, h, platformSource{f.store}); err != nil {
 			f.log.Warnf("generation %d not fetched: %v", h.Generation, err)
 		}
 	}
 }
 
-func (f *Follower) confirm() {
+func (f *Follower) markConfirmed() {
 	f.mu.Lock()
 	f.adopter.ConfirmedAt = f.now()
 	f.mu.Unlock()
 }
 
-// Learn fetches a newer generation from a peer.
-func (f *Follower) Learn(ctx context.Context, s Source) error {
+// FetchFrom fetches a newer generation from a peer.
+func (f *Follower) FetchFrom(ctx context.Context, s Source) error {
 	h, err := s.Head(ctx)
 	if err != nil {
 		return err
 	}
-	return f.offer(ctx, h, s)
+	return f.adopt(ctx, h, s)
 }
 
-// offer puts the head in force once its sections are there.
-func (f *Follower) offer(ctx context.Context, h *Head, s Source) error {
+// adopt puts the head in force once its sections are there.
+func (f *Follower) adopt(ctx context.Context, h *Head, s Source) error {
 	f.mu.Lock()
 	f.adopter.Offer(h)
 	miss := f.adopter.Missing()
@@ -207,7 +207,7 @@
 // missing.
 func (p platformSource) Sections(ctx context.Context, l []Hash) (map[Hash][]byte, error) {
 	m := map[Hash][]byte{}
-	if len(l) > listAbove {
+	if len(l) > listThreshold {
 		all, _, err := p.store.List(ctx, SectionPrefix)
 		if err != nil {
 			return nil, err
--- a/config/publish.go
+++ b/config/publish.go
@@ -39,20 +39,20 @@
 		e.Base, e.Current, strings.Join(e.Changed, ", "))
 }
 
-// ErrOpen says that it could not be learned whether a publication took effect.
+// ErrUnknownOutcome says that it could not be learned whether a publication took effect.
 // The same document can be published again from the same base.
-var ErrOpen = errors.New("config: the platform's answer was lost and the head could not be read back; the change may be in force")
+var ErrUnknownOutcome = errors.New("config: the platform's answer was lost and the head could not be read back; the change may be in force")
 
 // Publisher writes documents to the platform.
 type Publisher struct {
 	store platform.Store
-	// wait is the pause before the first retry.
-	wait time.Duration
+	// retryDelay is the pause before the first retry.
+	retryDelay time.Duration
 }
 
 // NewPublisher returns a publisher to the store.
 func NewPublisher(s platform.Store) *Publisher {
-	return &Publisher{store: s, wait: publishBackoff}
+	return &Publisher{store: s, retryDelay: publishRetryDelay}
 }
 
 // ReadHead returns the head in force and its revision; an empty head where
@@ -103,7 +103,7 @@
 	if err := p.swapHead(ctx, next, rev, base); err != nil {
 		return nil, err
 	}
-	p.removeDropped(ctx, old, next)
+	p.removeUnused(ctx, old, next)
 	return next, nil
 }
 
@@ -138,7 +138,7 @@
 		_, err = p.store.Swap(ctx, key, b, e.Revision)
 		return struct{}{}, err
 	}
-	_, err := backoff.Retry(ctx, put, p.retries()...)
+	_, err := backoff.Retry(ctx, put, p.retryOptions()...)
 	return err
 }
 
@@ -156,19 +156,19 @@
 	if errors.Is(err, platform.ErrNotSent) {
 		return merry.Prepend(err, "config: publish")
 	}
-	return p.readBack(ctx, next, base)
+	return p.resolveWrite(ctx, next, base)
 }
 
-// readBack reads the head until it tells whether the write took effect. A head
+// resolveWrite reads the head until it tells whether the write took effect. A head
 // that is still the base tells nothing, since the write may yet arrive; it is
 // settled by a swap of the same head, which can take effect once only.
-func (p *Publisher) readBack(ctx context.Context, next *Head, base int64) error {
+func (p *Publisher) resolveWrite(ctx context.Context, next *Head, base int64) error {
 	settle := func() (struct{}, error) {
 		cur, rev, err := ReadHead(ctx, p.store)
 		if err != nil {
 			return struct{}{}, err
 		}
-		if cur.Wrote(next.Write) {
+		if cur.HasWrite(next.WriteID) {
 			return struct{}{}, nil
 		}
 		if cur.Generation != base {
@@ -182,17 +182,17 @@
 		_, err = p.store.Swap(ctx, HeadKey, b, rev)
 		return struct{}{}, err
 	}
-	_, err := backoff.Retry(ctx, settle, p.retries()...)
+	_, err := backoff.Retry(ctx, settle, p.retryOptions()...)
 	var stale *StaleError
 	if err == nil || errors.As(err, &stale) {
 		return err
 	}
-	return errors.Join(ErrOpen, err)
+	return errors.Join(ErrUnknownOutcome, err)
 }
 
-// removeDropped deletes the sections that only the old head held. A failure
+// removeUnused deletes the sections that only the old head held. A failure
 // leaves them behind, which does no harm.
-func (p *Publisher) removeDropped(ctx context.Context, old, next *Head) {
+func (p *Publisher) removeUnused(ctx context.Context, old, next *Head) {
 	keep := map[Hash]bool{}
 	for _, h := range next.Sections {
 		keep[h] = true
@@ -215,7 +215,7 @@
 		return
 	}
 	cur, _, err := ReadHead(ctx, p.store)
-	if err != nil || cur.Write != next.Write {
+	if err != nil || cur.WriteID != next.WriteID {
 		return
 	}
 	_ = p.store.Delete(ctx, key, e.Revision)
@@ -223,17 +223,17 @@
 
 // Limits of the retries of one publication.
 const (
-	publishTries   = 8
-	publishFor     = 15 * time.Second
-	publishBackoff = 50 * time.Millisecond
+	maxPublishTries   = 8
+	maxPublishTime    = 15 * time.Second
+	publishRetryDelay = 50 * time.Millisecond
 )
 
-func (p *Publisher) retries() []backoff.RetryOption {
+func (p *Publisher) retryOptions() []backoff.RetryOption {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = p.wait
+	b.InitialInterval = p.retryDelay
 	return []backoff.RetryOption{
 		backoff.WithBackOff(b),
-		backoff.WithMaxTries(publishTries),
-		backoff.WithMaxElapsedTime(publishFor),
+		backoff.WithMaxTries(maxPublishTries),
+		backoff.WithMaxElapsedTime(maxPublishTime),
 	}
 }
--- a/config/publish_test.go
+++ b/config/publish_test.go
@@ -19,33 +19,33 @@
 // from the store and from each other, old ones too. The oracle is the list of
 // heads that were ever in the store.
 type publishModel struct {
-	t      *rapid.T
-	memory *standin.Memory
-	hosts  []*Adopter
-	seen   []int64
+	t              *rapid.T
+	memory         *standin.FaultyStore
+	hosts          []*Adopter
+	lastGeneration []int64
 	// accepted are the values that an operator was told are in force, by
 	// generation; refused are those that an operator was told are not.
 	accepted map[int64]string
 	refused  map[string]bool
-	old      []*Head
+	heads    []*Head
 	next     int
 	depth    int
 	faults   bool
 }
 
 func newPublishModel(t *rapid.T) *publishModel {
-	m := &publishModel{t: t, memory: standin.NewMemory(), accepted: map[int64]string{}, refused: map[string]bool{}, faults: true}
+	m := &publishModel{t: t, memory: standin.NewFaultyStore(), accepted: map[int64]string{}, refused: map[string]bool{}, faults: true}
 	m.memory.Decide = m.decide
 	for range 3 {
 		m.hosts = append(m.hosts, NewAdopter())
 	}
-	m.seen = make([]int64, len(m.hosts))
+	m.lastGeneration = make([]int64, len(m.hosts))
 	return m
 }
 
-func (m *publishModel) decide(write bool) standin.Fate {
+func (m *publishModel) decide(write bool) standin.Outcome {
 	if !m.faults {
-		return standin.Fine
+		return standin.Succeeds
 	}
 	if m.depth < 2 && rapid.IntRange(0, 9).Draw(m.t, "meanwhile") == 0 {
 		m.depth++
@@ -53,11 +53,11 @@
 		m.depth--
 	}
 	if !write {
-		return standin.Fine
+		return standin.Succeeds
 	}
-	fates := []standin.Fate{
-		standin.Fine, standin.Fine, standin.Fine, standin.Fine, standin.Fine,
-		standin.NotSent, standin.LostBefore, standin.LostAfter, standin.Late,
+	fates := []standin.Outcome{
+		standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.Succeeds,
+		standin.NotSent, standin.RequestLost, standin.AnswerLost, standin.Delayed,
 	}
 	return rapid.SampledFrom(fates).Draw(m.t, "fate")
 }
@@ -67,7 +67,7 @@
 	m.next++
 	d := &Document{Operator: fmt.Sprint("operator-", m.next), DataCentres: []string{"north"}}
 	for n := range rapid.IntRange(0, 2).Draw(m.t, "pools") {
-		d.Teams = append(d.Teams, Team{Name: fmt.Sprint("team-", n), Hosts: rapid.IntRange(0, 2).Draw(m.t, "hosts")})
+		d.Teams = append(d.Teams, Team{Name: fmt.Sprint("team-", n), MaxHosts: rapid.IntRange(0, 2).Draw(m.t, "hosts")})
 	}
 	return d
 }
@@ -83,7 +83,7 @@
 	}
 	base := h.Generation - int64(rapid.IntRange(0, 1).Draw(m.t, "stale"))
 	p := NewPublisher(m.memory)
-	p.wait = 0
+	p.retryDelay = 0
 	next, err := p.Publish(context.Background(), d, base)
 	var stale *StaleError
 	switch {
@@ -92,7 +92,7 @@
 	case errors.As(err, &stale):
 		m.refused[d.Operator] = true
 	}
-	m.note()
+	m.recordHead()
 }
 
 func (m *publishModel) accept(gen int64, operator string) {
@@ -102,8 +102,8 @@
 	m.accepted[gen] = operator
 }
 
-// note keeps the head that is in the store now.
-func (m *publishModel) note() {
+// recordHead keeps the head that is in the store now.
+func (m *publishModel) recordHead() {
 	l, _ := m.memory.Store.Range(HeadKey, "")
 	if len(l) == 0 {
 		return
@@ -112,19 +112,19 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.old = append(m.old, h)
+	m.heads = append(m.heads, h)
 }
 
 // adopt lets one host learn a head, a new or an old one, with those of its
 // sections that the store or another host still has.
 func (m *publishModel) adopt(t *rapid.T) {
 	m.t = t
-	if len(m.old) == 0 {
+	if len(m.heads) == 0 {
 		t.Skip("nothing was published")
 	}
 	n := rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
 	a := m.hosts[n]
-	a.Offer(rapid.SampledFrom(m.old).Draw(t, "head"))
+	a.Offer(rapid.SampledFrom(m.heads).Draw(t, "head"))
 	m.supply(a)
 	m.check(n)
 }
@@ -149,10 +149,10 @@
 
 func (m *publishModel) check(n int) {
 	s := m.hosts[n].Current()
-	if s.Head.Generation < m.seen[n] {
-		m.t.Fatalf("host %d went from generation %d back to %d", n, m.seen[n], s.Head.Generation)
+	if s.Head.Generation < m.lastGeneration[n] {
+		m.t.Fatalf("host %d went from generation %d back to %d", n, m.lastGeneration[n], s.Head.Generation)
 	}
-	m.seen[n] = s.Head.Generation
+	m.lastGeneration[n] = s.Head.Generation
 	if want, ok := m.accepted[s.Head.Generation]; ok && s.Document.Operator != want {
 		m.t.Fatalf("host %d has %s in generation %d, which is %s's", n, s.Document.Operator, s.Head.Generation, want)
 	}
@@ -161,15 +161,15 @@
 	}
 }
 
-// end lets every write arrive and checks that the head in the store is whole.
-func (m *publishModel) end() {
+// checkFinalHead lets every write arrive and checks that the head in the store is whole.
+func (m *publishModel) checkFinalHead() {
 	m.faults = false
-	m.memory.Deliver()
-	m.note()
-	if len(m.old) == 0 {
+	m.memory.DeliverDelayed()
+	m.recordHead()
+	if len(m.heads) == 0 {
 		return
 	}
-	top := m.old[len(m.old)-1]
+	top := m.heads[len(m.heads)-1]
 	for gen := range m.accepted {
 		if gen > top.Generation {
 			m.t.Fatalf("generation %d was accepted, the store has %d", gen, top.Generation)
@@ -200,16 +200,16 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) { m.t = t; m.publish() },
 			"adopt":   m.adopt,
-			"deliver": func(*rapid.T) { m.memory.Deliver(); m.note() },
+			"deliver": func(*rapid.T) { m.memory.DeliverDelayed(); m.recordHead() },
 		})
 		m.t = t
-		m.end()
+		m.checkFinalHead()
 	})
 }
 
-// TestHeadKeepsItsSize shows that a head stays far below the platform's largest
+// TestHeadStaysFarBelowMaxValue shows that a head stays far below the platform's largest
 // value at the size of two years from now.
-func TestHeadKeepsItsSize(t *testing.T) {
+func TestHeadStaysFarBelowMaxValue(t *testing.T) {
 	d := &Document{Operator: "large"}
 	for n := range 259 {
 		d.Pools = append(d.Pools, Pool{Name: fmt.Sprint("pool-", n)})
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	b, err := json.Marshal(h)
-	if err != nil || len(b) > platform.MaxValue/10 {
+	if err != nil || len(b) > platform.MaxValueBytes/10 {
 		t.Fatalf("a head of %d bytes: %v", len(b), err)
 	}
 }
--- a/config/sections.go
+++ b/config/sections.go
@@ -36,38 +36,38 @@
 type Head struct {
 	// Generation only grows. Zero is no configuration at all.
 	Generation int64 `json:"generation"`
-	// Write is the id of the write that made this head.
-	Write string `json:"write"`
-	// Recent are the ids of the writes before it, newest first, so that a
+	// WriteID is the id of the write that made this head.
+	WriteID string `json:"write"`
+	// RecentWrites are the ids of the writes before it, newest first, so that a
 	// writer whose answer was lost can tell whether its write took effect.
-	Recent []string `json:"recent,omitempty"`
+	RecentWrites []string `json:"recent,omitempty"`
 	// Order is the names of the sections as the document has them.
 	Order []string `json:"order"`
 	// Sections gives the hash of each section by its name.
 	Sections map[string]Hash `json:"sections"`
 }
 
-// maxRecent bounds Head.Recent.
-const maxRecent = 16
+// maxRecentWrites bounds Head.Recent.
+const maxRecentWrites = 16
 
-// Wrote reports whether the write with the id led to this head.
-func (h *Head) Wrote(id string) bool {
-	return h.Write == id || slices.Contains(h.Recent, id)
+// HasWrite reports whether the write with the id led to this head.
+func (h *Head) HasWrite(id string) bool {
+	return h.WriteID == id || slices.Contains(h.RecentWrites, id)
 }
 
 // next returns the head that follows h and holds the sections of d.
 func (h *Head) next(d *Document, write string) (*Head, map[Hash][]byte, error) {
-	n := &Head{Generation: h.Generation + 1, Write: write, Sections: map[string]Hash{}}
-	if h.Write != "" {
-		n.Recent = append([]string{h.Write}, h.Recent...)
+	n := &Head{Generation: h.Generation + 1, WriteID: write, Sections: map[string]Hash{}}
+	if h.WriteID != "" {
+		n.RecentWrites = append([]string{h.WriteID}, h.RecentWrites...)
 	}
-	n.Recent = n.Recent[:min(len(n.Recent), maxRecent)]
-	blobs, err := n.divide(d)
+	n.RecentWrites = n.RecentWrites[:min(len(n.RecentWrites), maxRecentWrites)]
+	blobs, err := n.addSections(d)
 	return n, blobs, err
 }
 
-// divide encodes each section of the document and returns them by hash.
-func (h *Head) divide(d *Document) (map[Hash][]byte, error) {
+// addSections encodes each section of the document and returns them by hash.
+func (h *Head) addSections(d *Document) (map[Hash][]byte, error) {
 	blobs := map[Hash][]byte{}
 	add := func(name string, v any) error {
 		b, err := json.Marshal(v)
@@ -128,15 +128,15 @@
 		if HashOf(b) != h.Sections[n] {
 			return nil, fmt.Errorf("config: section %s is not what its hash says", n)
 		}
-		if err := d.add(n, b); err != nil {
+		if err := d.addSection(n, b); err != nil {
 			return nil, merry.Prepend(err, "config: section "+n)
 		}
 	}
 	return d, nil
 }
 
-// add decodes one section into the document.
-func (d *Document) add(name string, b []byte) error {
+// addSection decodes one section into the document.
+func (d *Document) addSection(name string, b []byte) error {
 	switch {
 	case name == sectionRoot:
 		return json.Unmarshal(b, d)
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -10,8 +10,8 @@
 	"amberway/platform"
 )
 
-// benchWorld is a fleet with so many pools, all hosts in service.
-func benchWorld(hosts, pools int) Input {
+// benchInput is a fleet with so many pools, all hosts in service.
+func benchInput(hosts, pools int) Input {
 	d := &config.Document{DataCentres: []string{testDC}, Teams: []config.Team{{Name: "t"}}}
 	names := make([]string, 0, pools)
 	for n := range pools {
@@ -19,11 +19,11 @@
 		names = append(names, p)
 		d.Pools = append(d.Pools, config.Pool{
 			Name: p, Team: "t", Select: config.Selector{"pool": {p}},
-			Budget: config.Budget{Available: map[string]int{testDC: hosts / pools / 2}},
+			Budget: config.Budget{MinAvailable: map[string]int{testDC: hosts / pools / 2}},
 		})
 		d.Services = append(d.Services, config.Service{Name: p, Pool: p, Jobs: []config.Job{{Name: "placed", Replicas: 2, Accelerators: 1}}})
 	}
-	d.Waves = []config.Wave{{Name: "w", Pools: names, Limit: 10, Failures: 3, State: config.WaveRunning}}
+	d.Waves = []config.Wave{{Name: "w", Pools: names, MaxInMaintenance: 10, FailureLimit: 3, State: config.WaveRunning}}
 	now := time.Unix(1e9, 0)
 	l := platform.HostList{AsOf: now}
 	for n := range hosts {
@@ -42,7 +42,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, v := range []struct{ hosts, pools int }{{50, 5}, {500, 50}, {1000, 259}, {5000, 259}, {10000, 259}} {
 		b.Run(fmt.Sprintf("hosts=%d/pools=%d", v.hosts, v.pools), func(b *testing.B) {
-			in := benchWorld(v.hosts, v.pools)
+			in := benchInput(v.hosts, v.pools)
 			r, err := json.Marshal(in.Record)
 			if err != nil {
 				b.Fatal(err)
@@ -56,40 +56,40 @@
 	}
 }
 
-// waveRun is one wave over a pool, with reboots of five minutes and with every
+// waveSimulation is one wave over a pool, with reboots of five minutes and with every
 // drain idle after one step.
-type waveRun struct {
-	doc    *config.Document
-	list   platform.HostList
-	record Record
-	now    time.Time
-	back   map[string]time.Time
-	drains int
-	buffer int
+type waveSimulation struct {
+	doc        *config.Document
+	list       platform.HostList
+	record     Record
+	now        time.Time
+	rebootEnds map[string]time.Time
+	drains     int
+	buffer     int
 }
 
 // waveStep is the time between two plans.
 const waveStep = 10 * time.Second
 
-func newWaveRun(hosts, racks, limit int) *waveRun {
-	d, l := world(hosts, racks)
-	d.Waves[0].Limit = limit
-	return &waveRun{doc: d, list: l, now: time.Unix(1e9, 0), back: map[string]time.Time{}}
+func newWaveRun(hosts, racks, limit int) *waveSimulation {
+	d, l := smallFleet(hosts, racks)
+	d.Waves[0].MaxInMaintenance = limit
+	return &waveSimulation{doc: d, list: l, now: time.Unix(1e9, 0), rebootEnds: map[string]time.Time{}}
 }
 
 // run plays the wave to its end and returns its roll-out time.
-func (w *waveRun) run() time.Duration {
+func (w *waveSimulation) run() time.Duration {
 	start := w.now
 	for w.done() < len(w.list.Hosts) {
 		w.now = w.now.Add(waveStep)
 		w.list.AsOf = w.now
-		w.boot()
+		w.endReboots()
 		w.plan()
 	}
 	return w.now.Sub(start)
 }
 
-func (w *waveRun) done() int {
+func (w *waveSimulation) done() int {
 	n := 0
 	for _, r := range w.record.Hosts {
 		if len(r.Done) == 1 && r.State == InService {
@@ -99,33 +99,33 @@
 	return n
 }
 
-// boot brings the hosts back whose reboot is over.
-func (w *waveRun) boot() {
+// endReboots brings the hosts back whose reboot is over.
+func (w *waveSimulation) endReboots() {
 	for i := range w.list.Hosts {
 		h := &w.list.Hosts[i]
-		if at, ok := w.back[h.Name]; ok && !w.now.Before(at) {
+		if at, ok := w.rebootEnds[h.Name]; ok && !w.now.Before(at) {
 			h.Boot++
 			h.Live = true
-			delete(w.back, h.Name)
+			delete(w.rebootEnds, h.Name)
 		}
 	}
 }
 
-func (w *waveRun) plan() {
-	o := Plan(Input{Now: w.now, Document: w.doc, Generation: 1, DataCentre: testDC, Record: w.record, List: w.list, Idle: allIdle(w.record)})
+func (w *waveSimulation) plan() {
+	o := Plan(Input{Now: w.now, Document: w.doc, Generation: 1, DataCentre: testDC, Record: w.record, List: w.list, IdleTerms: allIdle(w.record)})
 	w.record = o.Record
 	w.record.Generation = 1
 	for _, v := range o.Orders {
 		w.reboot(v.Host)
 	}
-	w.buffer = max(w.buffer, Tallies(w.now, w.doc, testDC, w.record, w.list)["a"].Buffer())
+	w.buffer = max(w.buffer, PoolCapacities(w.now, w.doc, testDC, w.record, w.list)["a"].Buffer())
 }
 
-func (w *waveRun) reboot(name string) {
-	if _, ok := w.back[name]; ok {
+func (w *waveSimulation) reboot(name string) {
+	if _, ok := w.rebootEnds[name]; ok {
 		return
 	}
-	w.back[name] = w.now.Add(RebootGuess)
+	w.rebootEnds[name] = w.now.Add(RebootEstimate)
 	w.drains++
 	for i := range w.list.Hosts {
 		if w.list.Hosts[i].Name == name {
@@ -147,13 +147,13 @@
 		atOnce := v.hosts - v.hosts/2 - largest
 		for _, limit := range []int{1, atOnce} {
 			b.Run(fmt.Sprintf("%s/limit=%d", v.name, limit), func(b *testing.B) {
-				var w *waveRun
+				var w *waveSimulation
 				var took time.Duration
 				for b.Loop() {
 					w = newWaveRun(v.hosts, v.racks, limit)
 					took = w.run()
 				}
-				bound := time.Duration((v.hosts+atOnce-1)/atOnce) * RebootGuess
+				bound := time.Duration((v.hosts+atOnce-1)/atOnce) * RebootEstimate
 				b.ReportMetric(took.Minutes(), "roll-out-min")
 				b.ReportMetric(bound.Minutes(), "bound-min")
 				b.ReportMetric(float64(w.drains)/float64(v.hosts), "drains/host")
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -7,17 +7,17 @@
 	"amberway/platform"
 )
 
-// ListStaleAfter is the age from which the host list counts as unknown. What is
+// MaxListAge is the age from which the host list counts as unknown. What is
 // unknown is not available.
-const ListStaleAfter = 2 * time.Minute
+const MaxListAge = 2 * time.Minute
 
-// Tally is what a pool has in one data centre.
-type Tally struct {
+// PoolCapacity is what a pool has in one data centre.
+type PoolCapacity struct {
 	// Available is the number of hosts that are in service, listed as live and
 	// not about to leave.
 	Available int `json:"available"`
-	// Need is the pool's allowance.
-	Need int `json:"need"`
+	// MinAvailable is the pool's allowance.
+	MinAvailable int `json:"need"`
 	// LargestRack is the most available hosts that stand in one rack.
 	LargestRack int `json:"largest_rack"`
 	// Hosts is the number of rows of the pool.
@@ -26,18 +26,18 @@
 }
 
 // Buffer is what is held back above the allowance.
-func (t Tally) Buffer() int {
-	return max(0, t.Available-t.Need)
+func (t PoolCapacity) Buffer() int {
+	return max(0, t.Available-t.MinAvailable)
 }
 
-// Spent reports whether failures alone have used the budget up.
-func (t Tally) Spent() bool {
-	return t.Available < t.Need
+// BudgetExhausted reports whether failures alone have used the budget up.
+func (t PoolCapacity) BudgetExhausted() bool {
+	return t.Available < t.MinAvailable
 }
 
-// mayLose reports whether the pool keeps its allowance without one host of the
+// allowsDrain reports whether the pool keeps its allowance without one host of the
 // rack, and after the loss of any one whole rack besides.
-func (t Tally) mayLose(rack string) bool {
+func (t PoolCapacity) allowsDrain(rack string) bool {
 	left := t.Available - 1
 	largest := 0
 	for r, n := range t.racks {
@@ -46,58 +46,58 @@
 		}
 		largest = max(largest, n)
 	}
-	return left-largest >= t.Need
+	return left-largest >= t.MinAvailable
 }
 
-// lose takes one host of the rack out.
-func (t *Tally) lose(rack string) {
+// remove takes one host of the rack out.
+func (t *PoolCapacity) remove(rack string) {
 	t.Available--
 	t.racks[rack]--
-	t.count()
+	t.updateLargestRack()
 }
 
-// gain adds one host of the rack.
-func (t *Tally) gain(rack string) {
+// add adds one host of the rack.
+func (t *PoolCapacity) add(rack string) {
 	t.Available++
 	t.racks[rack]++
-	t.count()
+	t.updateLargestRack()
 }
 
-func (t *Tally) count() {
+func (t *PoolCapacity) updateLargestRack() {
 	t.LargestRack = 0
 	for _, n := range t.racks {
 		t.LargestRack = max(t.LargestRack, n)
 	}
 }
 
-// Tallies counts every pool of the document in the data centre.
-func Tallies(now time.Time, d *config.Document, dc string, r Record, l platform.HostList) map[string]*Tally {
-	m := map[string]*Tally{}
+// PoolCapacities counts every pool of the document in the data centre.
+func PoolCapacities(now time.Time, d *config.Document, dc string, r Record, l platform.HostList) map[string]*PoolCapacity {
+	m := map[string]*PoolCapacity{}
 	for _, p := range d.Pools {
-		m[p.Name] = &Tally{Need: p.Budget.Available[dc], racks: map[string]int{}}
+		m[p.Name] = &PoolCapacity{MinAvailable: p.Budget.MinAvailable[dc], racks: map[string]int{}}
 	}
 	for _, w := range r.Hosts {
 		if t, ok := m[w.Pool]; ok {
 			t.Hosts++
 		}
 	}
-	if Stale(now, l) {
+	if IsListStale(now, l) {
 		return m
 	}
 	for _, h := range l.Hosts {
 		t, ok := m[r.Hosts[h.Name].Pool]
 		if ok && available(r.Hosts[h.Name], h) {
-			t.gain(h.Rack)
+			t.add(h.Rack)
 		}
 	}
 	return m
 }
 
-// Stale reports whether the list is too old to tell what is available.
-func Stale(now time.Time, l platform.HostList) bool {
-	return now.Sub(l.AsOf) > ListStaleAfter
+// IsListStale reports whether the list is too old to tell what is available.
+func IsListStale(now time.Time, l platform.HostList) bool {
+	return now.Sub(l.AsOf) > MaxListAge
 }
 
-func available(w Row, h platform.Host) bool {
+func available(w HostStatus, h platform.Host) bool {
 	return w.State == InService && h.Live && !h.Leaving
 }
--- a/fleet/example_test.go
+++ b/fleet/example_test.go
@@ -13,9 +13,9 @@
 			{Name: "media/transcode", Replicas: 1, Need: fleet.Resources{Processors: 64}},
 		},
 		Workers: []fleet.Worker{
-			{Name: "w1", Rack: "r1", Has: fleet.Resources{Processors: 16}},
-			{Name: "w2", Rack: "r1", Has: fleet.Resources{Processors: 16}},
-			{Name: "w3", Rack: "r2", Has: fleet.Resources{Processors: 16}},
+			{Name: "w1", Rack: "r1", Capacity: fleet.Resources{Processors: 16}},
+			{Name: "w2", Rack: "r1", Capacity: fleet.Resources{Processors: 16}},
+			{Name: "w3", Rack: "r2", Capacity: fleet.Resources{Processors: 16}},
 		},
 	})
 	fmt.Println(out.Placement["search/query"])
--- a/fleet/operator.go
+++ b/fleet/operator.go
@@ -17,13 +17,13 @@
 // ErrNoHost says that the data centre has no row for a host.
 var ErrNoHost = errors.New("fleet: no such host in this data centre")
 
-// holdTries is how often a change by an operator is tried against others.
-const holdTries = 10
+// maxHoldTries is how often a change by an operator is tried against others.
+const maxHoldTries = 10
 
 // Hold has a host drained and kept so, or lets it back. A host that stays away
 // from a reboot is taken out of its wave when it is let back.
 func (c *Coordinator) Hold(ctx context.Context, name string, held bool) error {
-	for range holdTries {
+	for range maxHoldTries {
 		if _, err := c.view.Refresh(ctx); err != nil {
 			return merry.Prepend(err, "fleet: hold "+name)
 		}
@@ -32,12 +32,12 @@
 		if !ok {
 			return fmt.Errorf("%w: %s", ErrNoHost, name)
 		}
-		if w.Held == held && w.State != Away {
+		if w.Held == held && w.State != Overdue {
 			return nil
 		}
 		r := s.Record.Clone()
-		r.Hosts[name] = holdRow(w, held)
-		err := c.write(ctx, r, s.Revision)
+		r.Hosts[name] = withHold(w, held)
+		err := c.writeRecord(ctx, r, s.Revision)
 		if err == nil || !errors.Is(err, platform.ErrConflict) {
 			return err
 		}
@@ -45,19 +45,19 @@
 	return merry.Errorf("fleet: hold %s: others change the record all the time", name)
 }
 
-func holdRow(w Row, held bool) Row {
+func withHold(w HostStatus, held bool) HostStatus {
 	w.Held = held
-	if !held && w.State == Away {
+	if !held && w.State == Overdue {
 		w.State = Drained
 		w.Wave = ""
 	}
 	return w
 }
 
-// write swaps in a record whose rows an operator changed.
-func (c *Coordinator) write(ctx context.Context, r Record, base platform.Revision) error {
+// writeRecord swaps in a record whose rows an operator changed.
+func (c *Coordinator) writeRecord(ctx context.Context, r Record, base platform.Revision) error {
 	r.Version++
-	r.Write = uuid.NewString()
+	r.WriteID = uuid.NewString()
 	b, err := json.Marshal(r)
 	if err != nil {
 		return merry.Prepend(err, "fleet: record")
@@ -66,21 +66,21 @@
 	if err != nil {
 		return merry.Prepend(err, "fleet: record")
 	}
-	c.view.Offer(r, rev)
+	c.view.OfferRecord(r, rev)
 	return nil
 }
 
-// Progress is how far a wave is in one data centre.
-type Progress struct {
+// WaveProgress is how far a wave is in one data centre.
+type WaveProgress struct {
 	Hosts       int
 	Done        int
 	Maintenance []string
-	Away        []string
+	Overdue     []string
 }
 
 // ProgressOf counts the rows that the wave covers.
-func ProgressOf(v config.Wave, r Record) Progress {
-	p := Progress{}
+func ProgressOf(v config.Wave, r Record) WaveProgress {
+	p := WaveProgress{}
 	for _, n := range r.Names() {
 		w := r.Hosts[n]
 		if !slices.Contains(v.Pools, w.Pool) {
@@ -88,8 +88,8 @@
 		}
 		p.Hosts++
 		switch {
-		case w.Wave == v.Name && w.State == Away:
-			p.Away = append(p.Away, n)
+		case w.Wave == v.Name && w.State == Overdue:
+			p.Overdue = append(p.Overdue, n)
 		case w.Wave == v.Name:
 			p.Maintenance = append(p.Maintenance, n)
 		case slices.Contains(w.Done, v.Name):
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -12,8 +12,8 @@
 	"amberway/platform"
 )
 
-// Runs tells what the process itself runs.
-type Runs interface {
+// IdleChecker tells what the process itself runs.
+type IdleChecker interface {
 	// Idle reports whether nothing runs on the host and nothing new can.
 	Idle(host string) bool
 }
@@ -21,14 +21,14 @@
 // PeerServer answers coordinators and processes that cannot reach the platform.
 type PeerServer struct {
 	fleetpb.UnimplementedFleetServer
-	dc   string
-	view *View
-	runs Runs
+	dc          string
+	view        *View
+	idleChecker IdleChecker
 }
 
 // NewPeerServer returns the answers of a process in the data centre.
-func NewPeerServer(dc string, v *View, r Runs) *PeerServer {
-	return &PeerServer{dc: dc, view: v, runs: r}
+func NewPeerServer(dc string, v *View, r IdleChecker) *PeerServer {
+	return &PeerServer{dc: dc, view: v, idleChecker: r}
 }
 
 // Register offers the service on a server.
@@ -40,19 +40,19 @@
 func (p *PeerServer) Idle(_ context.Context, q *fleetpb.IdleRequest) (*fleetpb.IdleReply, error) {
 	r := &fleetpb.IdleReply{}
 	for _, h := range q.GetHosts() {
-		if p.idle(q.GetDataCentre(), h) {
+		if p.isIdle(q.GetDataCentre(), h) {
 			r.Idle = append(r.Idle, h.GetHost())
 		}
 	}
 	return r, nil
 }
 
-func (p *PeerServer) idle(dc string, h *fleetpb.HostTerm) bool {
+func (p *PeerServer) isIdle(dc string, h *fleetpb.HostTerm) bool {
 	w := p.view.Current().Record.Hosts[h.GetHost()]
 	if dc != p.dc || w.Term < h.GetTerm() {
 		return false
 	}
-	return p.runs.Idle(h.GetHost())
+	return p.idleChecker.Idle(h.GetHost())
 }
 
 // View returns the record and the list that are known here.
@@ -64,12 +64,12 @@
 	return &fleetpb.ViewReply{Record: r, Hosts: h}, err
 }
 
-// idleTimeout bounds one question to a peer.
-const idleTimeout = time.Second
+// peerCallTimeout bounds one question to a peer.
+const peerCallTimeout = time.Second
 
 // askIdle asks one member which of the hosts are idle there.
 func askIdle(ctx context.Context, l *peers.Dialer, m peers.Member, dc string, terms map[string]int64) (map[string]bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	c, err := l.Conn(m.Peer)
 	if err != nil {
@@ -90,10 +90,10 @@
 	return idle, nil
 }
 
-// LearnView takes the record and the list of a peer in the same data centre
+// FetchView takes the record and the list of a peer in the same data centre
 // into the view.
-func LearnView(ctx context.Context, c grpc.ClientConnInterface, v *View) error {
-	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
+func FetchView(ctx context.Context, c grpc.ClientConnInterface, v *View) error {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	cur := v.Current()
 	r, err := fleetpb.NewFleetClient(c).View(ctx, &fleetpb.ViewRequest{DataCentre: v.dc, Version: cur.Record.Version})
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		v.Offer(n, 0)
+		v.OfferRecord(n, 0)
 	}
 	if b := r.GetHosts(); len(b) > 0 {
 		var l platform.HostList
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -35,9 +35,9 @@
 
 // Worker is one host that may hold jobs.
 type Worker struct {
-	Name string
-	Rack string
-	Has  Resources
+	Name     string
+	Rack     string
+	Capacity Resources
 }
 
 // Placement gives the hosts of each job, in order.
@@ -59,14 +59,14 @@
 	Placement Placement
 	// Moves counts jobs that left a worker and began on another.
 	Moves int
-	// Used counts the workers that hold a job.
-	Used int
+	// UsedWorkers counts the workers that hold a job.
+	UsedWorkers int
 	// Unplaced says for each job that lacks replicas why it does.
 	Unplaced map[string]string
 }
 
-// bench is a worker in the making of a placement.
-type bench struct {
+// workerState is a worker in the making of a placement.
+type workerState struct {
 	Worker
 	free Resources
 	jobs map[string]bool
@@ -75,9 +75,9 @@
 // placer is one placement in the making.
 type placer struct {
 	PlaceInput
-	benches map[string]*bench
-	names   []string
-	needs   map[string]Resources
+	states map[string]*workerState
+	names  []string
+	needs  map[string]Resources
 	// racks counts the replicas of each job in each rack.
 	racks map[string]map[string]int
 	out   PlaceOutput
@@ -88,29 +88,29 @@
 // moves cost.
 func Place(in PlaceInput) PlaceOutput {
 	p := &placer{
-		PlaceInput: in, benches: map[string]*bench{}, needs: map[string]Resources{},
+		PlaceInput: in, states: map[string]*workerState{}, needs: map[string]Resources{},
 		racks: map[string]map[string]int{}, out: PlaceOutput{Unplaced: map[string]string{}},
 	}
 	for _, w := range in.Workers {
-		p.benches[w.Name] = &bench{Worker: w, free: w.Has, jobs: map[string]bool{}}
+		p.states[w.Name] = &workerState{Worker: w, free: w.Capacity, jobs: map[string]bool{}}
 		p.names = append(p.names, w.Name)
 	}
 	slices.Sort(p.names)
-	jobs := p.ordered()
+	jobs := p.largestFirst()
 	for _, j := range jobs {
-		p.keep(j)
+		p.keepCurrent(j)
 	}
 	for _, j := range jobs {
-		p.fill(j)
+		p.addMissing(j)
 	}
 	p.pack()
-	p.finish()
+	p.buildOutput()
 	return p.out
 }
 
-// ordered returns the jobs, the largest first, as they are the hardest to
+// largestFirst returns the jobs, the largest first, as they are the hardest to
 // place.
-func (p *placer) ordered() []JobSpec {
+func (p *placer) largestFirst() []JobSpec {
 	l := slices.Clone(p.Jobs)
 	for _, j := range l {
 		p.needs[j.Name] = j.Need
@@ -127,53 +127,53 @@
 	return l
 }
 
-// keep leaves the job on the workers that still have room for it.
-func (p *placer) keep(j JobSpec) {
+// keepCurrent leaves the job on the workers that still have room for it.
+func (p *placer) keepCurrent(j JobSpec) {
 	n := 0
 	for _, h := range p.Current[j.Name] {
-		b, ok := p.benches[h]
+		b, ok := p.states[h]
 		if ok && n < j.Replicas && b.free.fits(j.Need) && !b.jobs[j.Name] {
-			p.put(b, j.Name)
+			p.assign(b, j.Name)
 			n++
 		}
 	}
 }
 
-func (p *placer) put(b *bench, job string) {
+func (p *placer) assign(b *workerState, job string) {
 	b.jobs[job] = true
 	b.free = b.free.minus(p.needs[job])
 	p.racks[job][b.Rack]++
 }
 
-func (p *placer) take(b *bench, job string) {
+func (p *placer) unassign(b *workerState, job string) {
 	delete(b.jobs, job)
 	b.free = b.free.plus(p.needs[job])
 	p.racks[job][b.Rack]--
 }
 
-// fill adds the replicas that are missing.
-func (p *placer) fill(j JobSpec) {
+// addMissing adds the replicas that are missing.
+func (p *placer) addMissing(j JobSpec) {
 	n := 0
 	for _, c := range p.racks[j.Name] {
 		n += c
 	}
 	for ; n < j.Replicas; n++ {
-		b := p.best(j.Name, func(*bench) bool { return true })
+		b := p.bestWorker(j.Name, func(*workerState) bool { return true })
 		if b == nil {
 			p.out.Unplaced[j.Name] = p.reason(j, n)
 			return
 		}
-		p.put(b, j.Name)
+		p.assign(b, j.Name)
 	}
 }
 
-// best returns the worker for one more replica: one in the rack with the fewest
+// bestWorker returns the worker for one more replica: one in the rack with the fewest
 // of them, and among those a full one where idle workers cost more than moves,
 // else an empty one.
-func (p *placer) best(job string, may func(*bench) bool) *bench {
-	var best *bench
+func (p *placer) bestWorker(job string, may func(*workerState) bool) *workerState {
+	var best *workerState
 	for _, n := range p.names {
-		b := p.benches[n]
+		b := p.states[n]
 		if b.jobs[job] || !b.free.fits(p.needs[job]) || !may(b) {
 			continue
 		}
@@ -184,19 +184,19 @@
 	return best
 }
 
-func (p *placer) better(job string, a, b *bench) bool {
+func (p *placer) better(job string, a, b *workerState) bool {
 	if c := cmp.Compare(p.racks[job][a.Rack], p.racks[job][b.Rack]); c != 0 {
 		return c < 0
 	}
 	c := cmp.Compare(a.free.Processors, b.free.Processors)
-	if p.packs() {
+	if p.prefersPacking() {
 		return c < 0
 	}
 	return c > 0
 }
 
-// packs reports whether idle workers cost more than moved jobs.
-func (p *placer) packs() bool {
+// prefersPacking reports whether idle workers cost more than moved jobs.
+func (p *placer) prefersPacking() bool {
 	return p.BufferWeight > p.MoveWeight
 }
 
@@ -204,7 +204,7 @@
 func (p *placer) reason(j JobSpec, placed int) string {
 	able := 0
 	for _, n := range p.names {
-		if p.benches[n].Has.fits(j.Need) {
+		if p.states[n].Capacity.fits(j.Need) {
 			able++
 		}
 	}
@@ -215,13 +215,13 @@
 	return fmt.Sprintf("%d of %d replicas placed: %d workers are large enough, and none of them has room", placed, j.Replicas, able)
 }
 
-// finish collects the placement and counts.
-func (p *placer) finish() {
+// buildOutput collects the placement and counts.
+func (p *placer) buildOutput() {
 	p.out.Placement = Placement{}
 	for _, n := range p.names {
-		b := p.benches[n]
+		b := p.states[n]
 		if len(b.jobs) > 0 {
-			p.out.Used++
+			p.out.UsedWorkers++
 		}
 		for j := range b.jobs {
 			p.out.Placement[j] = append(p.out.Placement[j], n)
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -20,7 +20,7 @@
 	for n := range rapid.IntRange(1, 8).Draw(t, "workers") {
 		in.Workers = append(in.Workers, Worker{
 			Name: fmt.Sprint("w", n), Rack: fmt.Sprint("r", n/2),
-			Has: Resources{Processors: rapid.IntRange(1, 16).Draw(t, "has"), MemoryBytes: 64, Accelerators: rapid.IntRange(0, 2).Draw(t, "accelerators")},
+			Capacity: Resources{Processors: rapid.IntRange(1, 16).Draw(t, "has"), MemoryBytes: 64, Accelerators: rapid.IntRange(0, 2).Draw(t, "accelerators")},
 		})
 	}
 	for n := range rapid.IntRange(1, 6).Draw(t, "jobs") {
@@ -48,24 +48,24 @@
 		}
 	}
 	for _, w := range in.Workers {
-		if !w.Has.fits(used[w.Name]) {
-			t.Fatalf("%s has %+v and holds %+v", w.Name, w.Has, used[w.Name])
+		if !w.Capacity.fits(used[w.Name]) {
+			t.Fatalf("%s has %+v and holds %+v", w.Name, w.Capacity, used[w.Name])
 		}
 	}
 }
 
-// TestPlacementFitsAndStays proves that no worker holds more than it has, that
+// TestPlacementFitsWithoutNeedlessMoves proves that no worker holds more than it has, that
 // a job that lacks replicas is named, and that a placement that still fits is
 // kept without a move, or changed only where that empties enough workers.
-func TestPlacementFitsAndStays(t *testing.T) {
+func TestPlacementFitsWithoutNeedlessMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawPlacement(t)
 		first := Place(in)
 		checkPlacement(t, in, first)
-		second := checkGain(t, in, first)
+		second := checkMovesWorthwhile(t, in, first)
 		loose := in
 		loose.BufferWeight = 0
-		checkGain(t, in, Place(loose))
+		checkMovesWorthwhile(t, in, Place(loose))
 		in.Current = first.Placement
 		lost := rapid.SampledFrom(in.Workers).Draw(t, "lost")
 		in.Workers = slices.DeleteFunc(slices.Clone(in.Workers), func(w Worker) bool { return w.Name == lost.Name })
@@ -85,24 +85,24 @@
 	})
 }
 
-// checkGain places anew from an earlier placement and requires that the moves
+// checkMovesWorthwhile places anew from an earlier placement and requires that the moves
 // were worth the workers that they emptied.
-func checkGain(t *rapid.T, in PlaceInput, before PlaceOutput) PlaceOutput {
+func checkMovesWorthwhile(t *rapid.T, in PlaceInput, before PlaceOutput) PlaceOutput {
 	in.Current = before.Placement
 	after := Place(in)
 	checkPlacement(t, in, after)
-	saved := float64(before.Used-after.Used) * in.BufferWeight
+	saved := float64(before.UsedWorkers-after.UsedWorkers) * in.BufferWeight
 	if len(before.Unplaced) == 0 && after.Moves > 0 && float64(after.Moves)*in.MoveWeight >= saved && in.MoveWeight > 0 {
-		t.Fatalf("%d moves saved %d workers: %v to %v", after.Moves, before.Used-after.Used, before.Placement, after.Placement)
+		t.Fatalf("%d moves saved %d workers: %v to %v", after.Moves, before.UsedWorkers-after.UsedWorkers, before.Placement, after.Placement)
 	}
 	return after
 }
 
-// placeFleet is a deployment of today: 12 workers in 3 racks, and five jobs.
-func placeFleet(move, buffer float64) PlaceInput {
+// smallPlaceInput is a deployment of today: 12 workers in 3 racks, and five jobs.
+func smallPlaceInput(move, buffer float64) PlaceInput {
 	in := PlaceInput{MoveWeight: move, BufferWeight: buffer}
 	for n := range 12 {
-		in.Workers = append(in.Workers, Worker{Name: fmt.Sprintf("w%02d", n), Rack: fmt.Sprint("r", n/4), Has: Resources{Processors: 16, MemoryBytes: 32 << 30}})
+		in.Workers = append(in.Workers, Worker{Name: fmt.Sprintf("w%02d", n), Rack: fmt.Sprint("r", n/4), Capacity: Resources{Processors: 16, MemoryBytes: 32 << 30}})
 	}
 	for n := range 5 {
 		in.Jobs = append(in.Jobs, JobSpec{Name: fmt.Sprint("j", n), Replicas: 3, Need: Resources{Processors: 4, MemoryBytes: 4 << 30}})
@@ -113,8 +113,8 @@
 // TestWeightsDecideBetweenMovesAndBuffer shows that the same policy leaves jobs
 // where they are for the one deployment and packs them for the other.
 func TestWeightsDecideBetweenMovesAndBuffer(t *testing.T) {
-	spread := Place(placeFleet(5, 1))
-	require.Equal(t, 12, spread.Used)
+	spread := Place(smallPlaceInput(5, 1))
+	require.Equal(t, 12, spread.UsedWorkers)
 	for _, l := range spread.Placement {
 		racks := map[string]bool{}
 		for _, h := range l {
@@ -123,19 +123,19 @@
 		require.Len(t, l, 3)
 		require.GreaterOrEqual(t, len(racks), 2)
 	}
-	in := placeFleet(1, 5)
+	in := smallPlaceInput(1, 5)
 	in.Current = spread.Placement
 	packed := Place(in)
-	require.Less(t, packed.Used, 8)
+	require.Less(t, packed.UsedWorkers, 8)
 	require.Positive(t, packed.Moves)
-	in = placeFleet(5, 1)
+	in = smallPlaceInput(5, 1)
 	in.Current = spread.Placement
 	require.Zero(t, Place(in).Moves)
 }
 
-// TestJobThatCanNeverRunIsNamed shows the reason that operators get.
-func TestJobThatCanNeverRunIsNamed(t *testing.T) {
-	in := placeFleet(1, 1)
+// TestUnplaceableJobIsReported shows the reason that operators get.
+func TestUnplaceableJobIsReported(t *testing.T) {
+	in := smallPlaceInput(1, 1)
 	in.Jobs = append(in.Jobs, JobSpec{Name: "huge", Replicas: 1, Need: Resources{Processors: 64}})
 	out := Place(in)
 	require.Equal(t, []string{"huge"}, slices.Collect(maps.Keys(out.Unplaced)))
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -10,15 +10,15 @@
 
 // Times of a host's maintenance.
 const (
-	// OrderLife is how long an order to the platform may be sent before it is
+	// OrderTTL is how long an order to the platform may be sent before it is
 	// renewed. A host is not taken back before its order is over, so that it also
 	// bounds how much later than its reboot a host serves; a plan is made twice a
 	// second.
-	OrderLife = 3 * time.Second
-	// ReturnWithin is how long a reboot may take.
-	ReturnWithin = 15 * time.Minute
-	// GoneAfter is how long a host may be off a fresh list before its row goes.
-	GoneAfter = 10 * time.Minute
+	OrderTTL = 3 * time.Second
+	// RebootTimeout is how long a reboot may take.
+	RebootTimeout = 15 * time.Minute
+	// HostRemovalDelay is how long a host may be off a fresh list before its row goes.
+	HostRemovalDelay = 10 * time.Minute
 )
 
 // Input is what a plan is made from.
@@ -29,9 +29,9 @@
 	DataCentre string
 	Record     Record
 	List       platform.HostList
-	// Idle holds the hosts that every live entry host has said to be idle, by
+	// IdleTerms holds the hosts that every live entry host has said to be idle, by
 	// the term that it was said for.
-	Idle map[string]int64
+	IdleTerms map[string]int64
 }
 
 // Output is what a plan comes to.
@@ -42,7 +42,7 @@
 	// Changed says that the record differs from the one handed in.
 	Changed bool
 	// Orders may be sent once the record is swapped in, and only then.
-	Orders []platform.Order
+	Orders []platform.RebootOrder
 	// Blocked says for each host whose drain waits why it does.
 	Blocked map[string]string
 	// Notes are for operators.
@@ -52,13 +52,13 @@
 // planner is one plan in the making.
 type planner struct {
 	Input
-	out     Output
-	listed  map[string]platform.Host
-	pools   *config.Matcher
-	tallies map[string]*Tally
-	// teams counts the hosts and accelerators of each team.
-	teams map[string]*quota
-	stale bool
+	out        Output
+	listed     map[string]platform.Host
+	pools      *config.Matcher
+	capacities map[string]*PoolCapacity
+	// quotaUsage counts the hosts and accelerators of each team.
+	quotaUsage map[string]*usage
+	listStale  bool
 }
 
 // Plan returns the next record of a data centre. It does nothing where the
@@ -69,17 +69,17 @@
 		p.note("the record is of a newer configuration than the one in force here")
 		return p.out
 	}
-	p.stale = Stale(in.Now, in.List)
+	p.listStale = IsListStale(in.Now, in.List)
 	p.index()
 	for _, n := range p.out.Record.Names() {
-		p.step(n)
+		p.advanceHost(n)
 	}
-	if !p.stale {
-		p.admit()
-		p.move()
-		p.hold()
-		p.waves()
-		p.place()
+	if !p.listStale {
+		p.addHosts()
+		p.drainForMove()
+		p.drainHeld()
+		p.runWaves()
+		p.placeJobs()
 	}
 	return p.out
 }
@@ -94,163 +94,163 @@
 	for _, h := range p.List.Hosts {
 		p.listed[h.Name] = h
 	}
-	p.tallies = Tallies(p.Now, p.Document, p.DataCentre, p.Record, p.List)
-	p.teams = map[string]*quota{}
+	p.capacities = PoolCapacities(p.Now, p.Document, p.DataCentre, p.Record, p.List)
+	p.quotaUsage = map[string]*usage{}
 	for n, w := range p.Record.Hosts {
-		p.charge(w.Pool, p.listed[n])
+		p.addUsage(w.Pool, p.listed[n])
 	}
 }
 
-func (p *planner) set(name string, w Row) {
+func (p *planner) setHost(name string, w HostStatus) {
 	p.out.Record.Hosts[name] = w
 	p.out.Changed = true
 }
 
-func (p *planner) drop(name string) {
+func (p *planner) removeHost(name string) {
 	delete(p.out.Record.Hosts, name)
 	p.out.Changed = true
 }
 
-// step moves one host on by what is known of it.
-func (p *planner) step(name string) {
+// advanceHost moves one host on by what is known of it.
+func (p *planner) advanceHost(name string) {
 	w := p.out.Record.Hosts[name]
-	if p.gone(name, w) {
+	if p.removeUnlisted(name, w) {
 		return
 	}
 	w = p.out.Record.Hosts[name]
 	switch w.State {
 	case Draining:
-		p.drained(name, w)
+		p.confirmDrained(name, w)
 	case Drained:
-		p.next(name, w)
-	case Rebooting, Away:
-		p.returned(name, w)
+		p.afterDrain(name, w)
+	case Rebooting, Overdue:
+		p.checkReboot(name, w)
 	case InService:
-		p.forget(name, w)
+		p.forgetWaves(name, w)
 	}
 }
 
-// gone drops the row of a host that has been off a fresh list for long, and
+// removeUnlisted drops the row of a host that has been off a fresh list for long, and
 // reports whether it did.
-func (p *planner) gone(name string, w Row) bool {
-	if p.stale {
+func (p *planner) removeUnlisted(name string, w HostStatus) bool {
+	if p.listStale {
 		return false
 	}
 	_, ok := p.listed[name]
 	switch {
-	case ok && !w.GoneAt.IsZero():
-		w.GoneAt = time.Time{}
-		p.set(name, w)
-	case !ok && w.GoneAt.IsZero():
-		w.GoneAt = p.Now.Add(GoneAfter)
-		p.set(name, w)
-	case !ok && p.Now.After(w.GoneAt):
-		p.drop(name)
+	case ok && !w.RemoveAt.IsZero():
+		w.RemoveAt = time.Time{}
+		p.setHost(name, w)
+	case !ok && w.RemoveAt.IsZero():
+		w.RemoveAt = p.Now.Add(HostRemovalDelay)
+		p.setHost(name, w)
+	case !ok && p.Now.After(w.RemoveAt):
+		p.removeHost(name)
 		return true
 	}
 	return false
 }
 
-// drained takes a draining host on once every live entry host has said that it
+// confirmDrained takes a draining host on once every live entry host has said that it
 // is idle in this very term.
-func (p *planner) drained(name string, w Row) {
-	if t, ok := p.Idle[name]; !ok || t != w.Term {
+func (p *planner) confirmDrained(name string, w HostStatus) {
+	if t, ok := p.IdleTerms[name]; !ok || t != w.Term {
 		p.out.Blocked[name] = "not every entry host has said that it is idle"
 		return
 	}
 	w.State = Drained
-	p.set(name, w)
-	p.next(name, w)
+	p.setHost(name, w)
+	p.afterDrain(name, w)
 }
 
-// next decides what a drained host is drained for.
-func (p *planner) next(name string, w Row) {
+// afterDrain decides what a drained host is drained for.
+func (p *planner) afterDrain(name string, w HostStatus) {
 	switch {
 	case w.Moving:
-		p.settle(name, w)
+		p.finishMove(name, w)
 	case w.Wave != "" && p.waveState(w.Wave) == config.WaveRunning:
-		p.order(name, w)
+		p.orderReboot(name, w)
 	case w.Wave != "" && p.waveState(w.Wave) == config.WavePaused:
 		p.out.Blocked[name] = "wave " + w.Wave + " is paused"
 	case w.Held:
 		return
 	default:
-		p.back(name, w)
+		p.returnToService(name, w)
 	}
 }
 
-// back puts a host into service again.
-func (p *planner) back(name string, w Row) {
+// returnToService puts a host into service again.
+func (p *planner) returnToService(name string, w HostStatus) {
 	w.State = InService
 	w.Wave = ""
 	w.Term++
-	w.OrderBy = time.Time{}
-	w.ReturnBy = time.Time{}
+	w.OrderDeadline = time.Time{}
+	w.RebootDeadline = time.Time{}
 	if w.Held {
 		w.State = Drained
 	}
-	p.set(name, w)
-	if t, ok := p.tallies[w.Pool]; ok && available(w, p.listed[name]) && !p.stale {
-		t.gain(p.listed[name].Rack)
+	p.setHost(name, w)
+	if t, ok := p.capacities[w.Pool]; ok && available(w, p.listed[name]) && !p.listStale {
+		t.add(p.listed[name].Rack)
 	}
 }
 
-// order writes down that the host is to reboot, under a new term.
-func (p *planner) order(name string, w Row) {
+// orderReboot writes down that the host is to reboot, under a new term.
+func (p *planner) orderReboot(name string, w HostStatus) {
 	h, ok := p.listed[name]
-	if p.stale || !ok {
+	if p.listStale || !ok {
 		p.out.Blocked[name] = "the host list does not tell of it"
 		return
 	}
 	w.State = Rebooting
 	w.Term++
 	w.Boot = h.Boot
-	w.OrderBy = p.Now.Add(OrderLife)
-	w.ReturnBy = p.Now.Add(ReturnWithin)
-	p.set(name, w)
-	p.resend(name, w, h)
+	w.OrderDeadline = p.Now.Add(OrderTTL)
+	w.RebootDeadline = p.Now.Add(RebootTimeout)
+	p.setHost(name, w)
+	p.repeatOrder(name, w, h)
 }
 
-// returned takes a rebooted host back, or notes that it stays away. While its order
+// checkReboot takes a rebooted host back, or notes that it stays away. While its order
 // may still be sent it is not taken back: the host may have restarted by itself, and
 // the order would end what runs on it by then.
-func (p *planner) returned(name string, w Row) {
+func (p *planner) checkReboot(name string, w HostStatus) {
 	h, ok := p.listed[name]
-	if p.stale {
+	if p.listStale {
 		return
 	}
 	restarted := ok && h.Live && h.Boot > w.Boot
-	if restarted && p.Now.Before(w.OrderBy) {
+	if restarted && p.Now.Before(w.OrderDeadline) {
 		return
 	}
 	if restarted {
 		w.Done = append(slices.Clone(w.Done), w.Wave)
-		p.back(name, w)
+		p.returnToService(name, w)
 		return
 	}
-	if w.State == Rebooting && p.Now.After(w.ReturnBy) {
-		w.State = Away
-		p.set(name, w)
+	if w.State == Rebooting && p.Now.After(w.RebootDeadline) {
+		w.State = Overdue
+		p.setHost(name, w)
 		p.note("host " + name + " has not come back from its reboot")
 	}
-	p.resend(name, w, h)
+	p.repeatOrder(name, w, h)
 }
 
-// resend hands the order out again, for a longer time if that is over: its first
+// repeatOrder hands the order out again, for a longer time if that is over: its first
 // sender may have died before it was sent. The platform takes each term once.
-func (p *planner) resend(name string, w Row, h platform.Host) {
+func (p *planner) repeatOrder(name string, w HostStatus, h platform.Host) {
 	if w.State != Rebooting || !h.Live {
 		return
 	}
-	if !p.Now.Before(w.OrderBy) {
-		w.OrderBy = p.Now.Add(OrderLife)
-		p.set(name, w)
+	if !p.Now.Before(w.OrderDeadline) {
+		w.OrderDeadline = p.Now.Add(OrderTTL)
+		p.setHost(name, w)
 	}
-	p.out.Orders = append(p.out.Orders, platform.Order{Host: name, Term: w.Term, Deadline: w.OrderBy})
+	p.out.Orders = append(p.out.Orders, platform.RebootOrder{Host: name, Term: w.Term, Deadline: w.OrderDeadline})
 }
 
-// hold drains each host that an operator wants drained.
-func (p *planner) hold() {
+// drainHeld drains each host that an operator wants drained.
+func (p *planner) drainHeld() {
 	for _, n := range p.out.Record.Names() {
 		w := p.out.Record.Hosts[n]
 		if w.Held && w.State == InService {
@@ -260,21 +260,21 @@
 }
 
 // drain grants the drain of one host if its pool's budget allows it.
-func (p *planner) drain(name string, w Row) bool {
+func (p *planner) drain(name string, w HostStatus) bool {
 	h := p.listed[name]
-	t, ok := p.tallies[w.Pool]
-	if ok && available(w, h) && !t.mayLose(h.Rack) {
+	t, ok := p.capacities[w.Pool]
+	if ok && available(w, h) && !t.allowsDrain(h.Rack) {
 		p.out.Blocked[name] = "the budget of pool " + w.Pool + " does not allow it"
-		if t.Spent() {
+		if t.BudgetExhausted() {
 			p.out.Blocked[name] = "failures have used up the budget of pool " + w.Pool
 		}
 		return false
 	}
 	if ok && available(w, h) {
-		t.lose(h.Rack)
+		t.remove(h.Rack)
 	}
 	w.State = Draining
 	w.Term++
-	p.set(name, w)
+	p.setHost(name, w)
 	return true
 }
--- a/fleet/plan_place.go
+++ b/fleet/plan_place.go
@@ -13,18 +13,18 @@
 	return service + "/" + job
 }
 
-// place puts the jobs of each pool onto those of its hosts that are in service.
+// placeJobs puts the jobs of each pool onto those of its hosts that are in service.
 // The jobs of a host that drains move in the same swap.
-func (p *planner) place() {
+func (p *planner) placeJobs() {
 	next := Placement{}
 	unplaced := map[string]string{}
 	moves := 0
 	workers := p.workers()
-	for pool, jobs := range jobsOf(p.Document) {
+	for pool, jobs := range jobsByPool(p.Document) {
 		r := Place(PlaceInput{
 			Jobs:         jobs,
 			Workers:      workers[pool],
-			Current:      currentOf(jobs, p.Record.Placement),
+			Current:      placementOf(jobs, p.Record.Placement),
 			MoveWeight:   p.Document.Placement.MoveWeight,
 			BufferWeight: p.Document.Placement.BufferWeight,
 		})
@@ -41,9 +41,9 @@
 	p.out.Changed = true
 }
 
-// jobsOf returns the jobs of each pool's services that ask for a number of
+// jobsByPool returns the jobs of each pool's services that ask for a number of
 // replicas.
-func jobsOf(d *config.Document) map[string][]JobSpec {
+func jobsByPool(d *config.Document) map[string][]JobSpec {
 	l := map[string][]JobSpec{}
 	for _, s := range d.Services {
 		for _, j := range s.Jobs {
@@ -57,7 +57,7 @@
 	return l
 }
 
-func currentOf(l []JobSpec, all Placement) Placement {
+func placementOf(l []JobSpec, all Placement) Placement {
 	c := Placement{}
 	for _, j := range l {
 		if h, ok := all[j.Name]; ok {
@@ -82,6 +82,6 @@
 func workerOf(h platform.Host) Worker {
 	return Worker{
 		Name: h.Name, Rack: h.Rack,
-		Has: Resources{Processors: h.Processors, MemoryBytes: h.MemoryBytes, Accelerators: h.Accelerators},
+		Capacity: Resources{Processors: h.Processors, MemoryBytes: h.MemoryBytes, Accelerators: h.Accelerators},
 	}
 }
--- a/fleet/plan_pool.go
+++ b/fleet/plan_pool.go
@@ -6,9 +6,9 @@
 	"amberway/platform"
 )
 
-// admit gives a row to each host that a pool selects and that has none.
-func (p *planner) admit() {
-	for _, h := range p.sorted() {
+// addHosts gives a row to each host that a pool selects and that has none.
+func (p *planner) addHosts() {
+	for _, h := range p.sortedHosts() {
 		if _, ok := p.out.Record.Hosts[h.Name]; ok {
 			continue
 		}
@@ -16,54 +16,54 @@
 		if n == "" || !h.Live || h.Leaving {
 			continue
 		}
-		if !p.within(n, h) {
+		if !p.withinQuota(n, h) {
 			p.out.Blocked[h.Name] = "the quota of the team of pool " + n + " is used up"
 			continue
 		}
-		p.charge(n, h)
-		w := Row{Pool: n, State: InService, Term: 1}
-		p.set(h.Name, w)
-		p.tallies[n].gain(h.Rack)
+		p.addUsage(n, h)
+		w := HostStatus{Pool: n, State: InService, Term: 1}
+		p.setHost(h.Name, w)
+		p.capacities[n].add(h.Rack)
 	}
 }
 
-// within reports whether the team of the pool may have one more host.
-func (p *planner) within(pool string, h platform.Host) bool {
+// withinQuota reports whether the team of the pool may have one more host.
+func (p *planner) withinQuota(pool string, h platform.Host) bool {
 	o, _ := p.Document.Pool(pool)
-	q := p.teams[o.Team]
+	q := p.quotaUsage[o.Team]
 	if q == nil {
-		q = &quota{}
+		q = &usage{}
 	}
 	for _, t := range p.Document.Teams {
 		if t.Name != o.Team {
 			continue
 		}
-		if t.Hosts > 0 && q.hosts+1 > t.Hosts {
+		if t.MaxHosts > 0 && q.hosts+1 > t.MaxHosts {
 			return false
 		}
-		return t.Accelerators == 0 || q.accelerators+h.Accelerators <= t.Accelerators
+		return t.MaxAccelerators == 0 || q.accelerators+h.Accelerators <= t.MaxAccelerators
 	}
 	return true
 }
 
-// charge counts a host towards the quota of the pool's team.
-func (p *planner) charge(pool string, h platform.Host) {
+// addUsage counts a host towards the quota of the pool's team.
+func (p *planner) addUsage(pool string, h platform.Host) {
 	o, _ := p.Document.Pool(pool)
-	q, ok := p.teams[o.Team]
+	q, ok := p.quotaUsage[o.Team]
 	if !ok {
-		q = &quota{}
-		p.teams[o.Team] = q
+		q = &usage{}
+		p.quotaUsage[o.Team] = q
 	}
 	q.hosts++
 	q.accelerators += h.Accelerators
 }
 
-type quota struct {
+type usage struct {
 	hosts        int
 	accelerators int
 }
 
-func (p *planner) sorted() []platform.Host {
+func (p *planner) sortedHosts() []platform.Host {
 	l := slices.Clone(p.List.Hosts)
 	slices.SortFunc(l, func(a, b platform.Host) int {
 		if a.Name < b.Name {
@@ -74,8 +74,8 @@
 	return l
 }
 
-// move drains each host that its pool does not select any more.
-func (p *planner) move() {
+// drainForMove drains each host that its pool does not select any more.
+func (p *planner) drainForMove() {
 	for _, n := range p.out.Record.Names() {
 		w := p.out.Record.Hosts[n]
 		h, ok := p.listed[n]
@@ -89,30 +89,30 @@
 		case Draining, Drained:
 			if !w.Moving {
 				w.Moving = true
-				p.set(n, w)
+				p.setHost(n, w)
 			}
-		case Rebooting, Away:
+		case Rebooting, Overdue:
 			// It moves once it is back in service.
 		}
 	}
 }
 
-// settle puts a drained host into the pool that selects it now, or lets it go.
-func (p *planner) settle(name string, w Row) {
+// finishMove puts a drained host into the pool that selects it now, or lets it go.
+func (p *planner) finishMove(name string, w HostStatus) {
 	h, ok := p.listed[name]
-	if p.stale || !ok {
+	if p.listStale || !ok {
 		return
 	}
 	to := p.pools.PoolOf(h.Labels)
 	if to == "" {
-		p.drop(name)
+		p.removeHost(name)
 		return
 	}
-	if to != w.Pool && !p.within(to, h) {
+	if to != w.Pool && !p.withinQuota(to, h) {
 		p.out.Blocked[name] = "the quota of the team of pool " + to + " is used up"
 		return
 	}
 	w.Pool = to
 	w.Moving = false
-	p.back(name, w)
+	p.returnToService(name, w)
 }
