--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -20,8 +20,8 @@
 
 const testDC = "north"
 
-// actor is one coordinator with its own, perhaps old, view.
-type actor struct {
+// modelCoordinator is one coordinator with its own, perhaps old, view.
+type modelCoordinator struct {
 	record   Record
 	revision platform.Revision
 	list     platform.HostList
@@ -30,17 +30,17 @@
 	// idle is what the entry hosts said when they were asked last.
 	idle map[string]int64
 	// orders wait to be sent; the actor may be paused before.
-	orders []platform.Order
+	orders []platform.RebootOrder
 }
 
-// sender is one entry host that sends requests by its own, perhaps old, view.
-type sender struct {
+// modelEntryHost is one entry host that sends requests by its own, perhaps old, view.
+type modelEntryHost struct {
 	record  Record
 	running map[string]int
 }
 
-// idle answers as PeerServer does.
-func (s *sender) idle(host string, term int64) bool {
+// isIdle answers as PeerServer does.
+func (s *modelEntryHost) isIdle(host string, term int64) bool {
 	w := s.record.Hosts[host]
 	return w.Term >= term && w.State != InService && s.running[host] == 0
 }
@@ -48,27 +48,27 @@
 // fleetModel is a data centre with hosts that fail, alone and by the rack, two
 // coordinators, two entry hosts, a list that lags and operators.
 type fleetModel struct {
-	t       *rapid.T
-	now     time.Time
-	memory  *standin.Memory
-	hosts   map[string]platform.Host
-	lists   []platform.HostList
-	terms   map[string]int64
-	reboots map[string]int
-	doc     *config.Document
-	gen     int64
-	actors  []*actor
-	senders []*sender
-	// written is the generation of the newest record seen.
-	written int64
+	t            *rapid.T
+	now          time.Time
+	memory       *standin.FaultyStore
+	hosts        map[string]platform.Host
+	lists        []platform.HostList
+	takenTerms   map[string]int64
+	reboots      map[string]int
+	doc          *config.Document
+	gen          int64
+	coordinators []*modelCoordinator
+	entryHosts   []*modelEntryHost
+	// lastGeneration is the generation of the newest record seen.
+	lastGeneration int64
 }
 
 func newFleetModel(t *rapid.T) *fleetModel {
 	m := &fleetModel{
-		t: t, now: time.Unix(1e9, 0), memory: standin.NewMemory(), hosts: map[string]platform.Host{},
-		terms: map[string]int64{}, reboots: map[string]int{}, gen: 1,
+		t: t, now: time.Unix(1e9, 0), memory: standin.NewFaultyStore(), hosts: map[string]platform.Host{},
+		takenTerms: map[string]int64{}, reboots: map[string]int{}, gen: 1,
 	}
-	m.memory.Decide = m.fate
+	m.memory.Decide = m.drawFate
 	for n := range rapid.IntRange(3, 9).Draw(t, "hosts") {
 		h := platform.Host{
 			Name: fmt.Sprint("h", n), DataCentre: testDC, Rack: fmt.Sprint("r", rapid.IntRange(0, 3).Draw(t, "rack")),
@@ -78,19 +78,19 @@
 		m.hosts[h.Name] = h
 	}
 	m.doc = m.document()
-	m.tick()
+	m.recordList()
 	for range 2 {
-		m.actors = append(m.actors, &actor{doc: m.doc, gen: m.gen, list: m.lists[0]})
-		m.senders = append(m.senders, &sender{running: map[string]int{}})
+		m.coordinators = append(m.coordinators, &modelCoordinator{doc: m.doc, gen: m.gen, list: m.lists[0]})
+		m.entryHosts = append(m.entryHosts, &modelEntryHost{running: map[string]int{}})
 	}
 	return m
 }
 
-func (m *fleetModel) fate(write bool) standin.Fate {
+func (m *fleetModel) drawFate(write bool) standin.Outcome {
 	if !write {
-		return standin.Fine
+		return standin.Succeeds
 	}
-	l := []standin.Fate{standin.Fine, standin.Fine, standin.Fine, standin.Fine, standin.LostAfter, standin.LostBefore, standin.Late, standin.NotSent}
+	l := []standin.Outcome{standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.AnswerLost, standin.RequestLost, standin.Delayed, standin.NotSent}
 	return rapid.SampledFrom(l).Draw(m.t, "fate")
 }
 
@@ -99,19 +99,19 @@
 	for _, n := range []string{"a", "b"} {
 		d.Pools = append(d.Pools, config.Pool{
 			Name: n, Team: "t", Select: config.Selector{"pool": {n}},
-			Budget: config.Budget{Available: map[string]int{testDC: rapid.IntRange(0, 3).Draw(m.t, "need")}},
+			Budget: config.Budget{MinAvailable: map[string]int{testDC: rapid.IntRange(0, 3).Draw(m.t, "need")}},
 		})
 	}
 	states := []config.WaveState{config.WaveRunning, config.WaveRunning, config.WavePaused, config.WaveAborted}
 	d.Waves = []config.Wave{{
-		Name: "w", Pools: []string{"a", "b"}, Limit: rapid.IntRange(1, 3).Draw(m.t, "limit"), Failures: 1,
+		Name: "w", Pools: []string{"a", "b"}, MaxInMaintenance: rapid.IntRange(1, 3).Draw(m.t, "limit"), FailureLimit: 1,
 		State: rapid.SampledFrom(states).Draw(m.t, "state"),
 	}}
 	return d
 }
 
-// tick notes what the list would say now.
-func (m *fleetModel) tick() {
+// recordList notes what the list would say now.
+func (m *fleetModel) recordList() {
 	l := platform.HostList{AsOf: m.now}
 	for _, h := range m.hosts {
 		l.Hosts = append(l.Hosts, h)
@@ -119,11 +119,11 @@
 	m.lists = append(m.lists, l)
 }
 
-func (m *fleetModel) pass(t *rapid.T) {
+func (m *fleetModel) advance(t *rapid.T) {
 	m.t = t
-	steps := []time.Duration{time.Second, 10 * time.Second, time.Minute, 3 * time.Minute, ReturnWithin}
+	steps := []time.Duration{time.Second, 10 * time.Second, time.Minute, 3 * time.Minute, RebootTimeout}
 	m.now = m.now.Add(rapid.SampledFrom(steps).Draw(t, "pass"))
-	m.tick()
+	m.recordList()
 }
 
 func (m *fleetModel) someHost() platform.Host {
@@ -151,28 +151,28 @@
 		o.Live = up
 		m.hosts[n] = o
 	}
-	m.tick()
+	m.recordList()
 }
 
-func (m *fleetModel) label(t *rapid.T) {
+func (m *fleetModel) relabel(t *rapid.T) {
 	m.t = t
 	h := m.someHost()
 	h.Labels = map[string]string{"pool": rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "label")}
 	m.hosts[h.Name] = h
-	m.tick()
+	m.recordList()
 }
 
-func (m *fleetModel) apply(t *rapid.T) {
+func (m *fleetModel) changeConfig(t *rapid.T) {
 	m.t = t
 	m.doc = m.document()
 	m.gen++
 }
 
-// learn lets one coordinator read the record, a list that may be old, and the
+// refresh lets one coordinator read the record, a list that may be old, and the
 // configuration.
-func (m *fleetModel) learn(t *rapid.T) {
+func (m *fleetModel) refresh(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.actors).Draw(t, "actor")
+	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
 	if rapid.Bool().Draw(t, "record") {
 		a.record, a.revision = m.stored()
 	}
@@ -198,13 +198,13 @@
 	return r, platform.Revision(l[0].ModRevision)
 }
 
-// step lets one coordinator plan and swap.
-func (m *fleetModel) step(t *rapid.T) {
+// plan lets one coordinator plan and swap.
+func (m *fleetModel) plan(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.actors).Draw(t, "actor")
+	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
 	in := Input{
 		Now: m.now, Document: a.doc, Generation: a.gen, DataCentre: testDC,
-		Record: a.record, List: a.list, Idle: a.idle,
+		Record: a.record, List: a.list, IdleTerms: a.idle,
 	}
 	o := Plan(in)
 	if !o.Changed {
@@ -219,7 +219,7 @@
 		t.Fatal(err)
 	}
 	rev, err := m.memory.Swap(context.Background(), RecordKey(testDC), b, a.revision)
-	m.checkSwap(in, next, mayBeIn(err))
+	m.checkSwap(in, next, mayBeInForce(err))
 	if err != nil {
 		a.record, a.revision = m.stored()
 		return
@@ -232,14 +232,14 @@
 // ask lets one coordinator ask the entry hosts what is idle.
 func (m *fleetModel) ask(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.actors).Draw(t, "actor")
-	a.idle = m.idle(a.record)
+	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
+	a.idle = m.idleHosts(a.record)
 }
 
-func (m *fleetModel) idle(r Record) map[string]int64 {
+func (m *fleetModel) idleHosts(r Record) map[string]int64 {
 	idle := map[string]int64{}
 	for n, w := range r.Hosts {
-		all := !slices.ContainsFunc(m.senders, func(s *sender) bool { return !s.idle(n, w.Term) })
+		all := !slices.ContainsFunc(m.entryHosts, func(s *modelEntryHost) bool { return !s.isIdle(n, w.Term) })
 		if w.State == Draining && all {
 			idle[n] = w.Term
 		}
@@ -247,8 +247,8 @@
 	return idle
 }
 
-// mayBeIn reports whether a swap with the outcome may be in force.
-func mayBeIn(err error) bool {
+// mayBeInForce reports whether a swap with the outcome may be in force.
+func mayBeInForce(err error) bool {
 	return !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrNotSent)
 }
 
@@ -288,7 +288,7 @@
 // checkBudget requires that the pool, after the drains, survives the loss of
 // any one rack.
 func (m *fleetModel) checkBudget(in Input, next Record, pool string) {
-	if m.now.Sub(in.List.AsOf) > ListStaleAfter {
+	if m.now.Sub(in.List.AsOf) > MaxListAge {
 		m.t.Fatalf("a drain was granted by a list of %s", in.List.AsOf)
 	}
 	p, _ := in.Document.Pool(pool)
@@ -302,12 +302,12 @@
 		}
 	}
 	for r, n := range racks {
-		if total-n < p.Budget.Available[testDC] {
-			m.t.Fatalf("pool %s has %d available, needs %d, and rack %s has %d of them", pool, total, p.Budget.Available[testDC], r, n)
+		if total-n < p.Budget.MinAvailable[testDC] {
+			m.t.Fatalf("pool %s has %d available, needs %d, and rack %s has %d of them", pool, total, p.Budget.MinAvailable[testDC], r, n)
 		}
 	}
-	if total < p.Budget.Available[testDC] {
-		m.t.Fatalf("pool %s has %d available, needs %d", pool, total, p.Budget.Available[testDC])
+	if total < p.Budget.MinAvailable[testDC] {
+		m.t.Fatalf("pool %s has %d available, needs %d", pool, total, p.Budget.MinAvailable[testDC])
 	}
 }
 
@@ -322,8 +322,8 @@
 			before++
 		}
 	}
-	if after > before && after > v.Limit {
-		m.t.Fatalf("%d hosts are in a wave that is limited to %d", after, v.Limit)
+	if after > before && after > v.MaxInMaintenance {
+		m.t.Fatalf("%d hosts are in a wave that is limited to %d", after, v.MaxInMaintenance)
 	}
 	if after > before && v.State != config.WaveRunning {
 		m.t.Fatalf("a wave that is %s went on", v.State)
@@ -331,18 +331,18 @@
 }
 
 func (m *fleetModel) anyRuns(host string) bool {
-	return slices.ContainsFunc(m.senders, func(s *sender) bool { return s.running[host] > 0 })
+	return slices.ContainsFunc(m.entryHosts, func(s *modelEntryHost) bool { return s.running[host] > 0 })
 }
 
-// send lets one coordinator send its orders, however late.
-func (m *fleetModel) send(t *rapid.T) {
+// sendOrders lets one coordinator send its orders, however late.
+func (m *fleetModel) sendOrders(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.actors).Draw(t, "actor")
+	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
 	for _, o := range a.orders {
-		if !m.now.Before(o.Deadline) || o.Term <= m.terms[o.Host] {
+		if !m.now.Before(o.Deadline) || o.Term <= m.takenTerms[o.Host] {
 			continue
 		}
-		m.terms[o.Host] = o.Term
+		m.takenTerms[o.Host] = o.Term
 		m.reboot(o.Host)
 	}
 }
@@ -359,13 +359,13 @@
 	h := m.hosts[name]
 	h.Live = false
 	m.hosts[name] = h
-	m.tick()
+	m.recordList()
 }
 
-// view lets one entry host learn the record.
-func (m *fleetModel) view(t *rapid.T) {
+// refreshEntryHost lets one entry host learn the record.
+func (m *fleetModel) refreshEntryHost(t *rapid.T) {
 	m.t = t
-	s := rapid.SampledFrom(m.senders).Draw(t, "sender")
+	s := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
 	if r, _ := m.stored(); r.Version > s.record.Version {
 		s.record = r
 	}
@@ -375,7 +375,7 @@
 // and ends one.
 func (m *fleetModel) run(t *rapid.T) {
 	m.t = t
-	s := rapid.SampledFrom(m.senders).Draw(t, "sender")
+	s := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
 	h := m.someHost()
 	if s.running[h.Name] > 0 && rapid.Bool().Draw(t, "end") {
 		s.running[h.Name]--
@@ -389,10 +389,10 @@
 // check holds the stored record against what must hold at any moment.
 func (m *fleetModel) check(t *rapid.T) {
 	r, _ := m.stored()
-	if r.Generation < m.written {
-		t.Fatalf("a record of generation %d followed one of %d", r.Generation, m.written)
+	if r.Generation < m.lastGeneration {
+		t.Fatalf("a record of generation %d followed one of %d", r.Generation, m.lastGeneration)
 	}
-	m.written = r.Generation
+	m.lastGeneration = r.Generation
 	for n, w := range r.Hosts {
 		if w.State == Rebooting && m.anyRuns(n) {
 			t.Fatalf("%s is rebooting with requests in flight", n)
@@ -403,18 +403,18 @@
 	}
 }
 
-// TestFleetKeepsItsPromises proves that a host is in one pool, that no drain is
+// TestFleetInvariantsHold proves that a host is in one pool, that no drain is
 // granted that a pool could not stand together with the loss of a rack, that a
 // drained host has nothing in flight from any entry host, that no host reboots
 // twice for one wave, and that waves keep their limits: over two coordinators
 // with old views, lost and late writes, lagging lists, failures of hosts and
 // racks, label and configuration changes.
-func TestFleetKeepsItsPromises(t *testing.T) {
-	rapid.Check(t, fleetKeepsItsPromises)
+func TestFleetInvariantsHold(t *testing.T) {
+	rapid.Check(t, checkFleetInvariants)
 }
 
-// TestFleetKeepsItsPromisesInDrawsThatOnceFailed plays the draws that failed before.
-func TestFleetKeepsItsPromisesInDrawsThatOnceFailed(t *testing.T) {
+// TestFleetInvariantsHoldForSeedsThatFailed plays the draws that failed before.
+func TestFleetInvariantsHoldForSeedsThatFailed(t *testing.T) {
 	before := flag.Lookup("rapid.seed").Value.String()
 	defer func() { require.NoError(t, flag.Set("rapid.seed", before)) }()
 	for seed, cause := range map[string]string{
@@ -422,44 +422,44 @@
 	} {
 		t.Run(cause, func(t *testing.T) {
 			require.NoError(t, flag.Set("rapid.seed", seed))
-			rapid.Check(t, fleetKeepsItsPromises)
+			rapid.Check(t, checkFleetInvariants)
 		})
 	}
 }
 
-func fleetKeepsItsPromises(t *rapid.T) {
+func checkFleetInvariants(t *rapid.T) {
 	m := newFleetModel(t)
 	t.Repeat(map[string]func(*rapid.T){
 		"":        m.check,
-		"pass":    m.pass,
+		"pass":    m.advance,
 		"fail":    m.fail,
-		"label":   m.label,
-		"apply":   m.apply,
-		"learn":   m.learn,
-		"learn2":  m.learn,
-		"step":    m.step,
-		"step2":   m.step,
-		"step3":   m.step,
+		"label":   m.relabel,
+		"apply":   m.changeConfig,
+		"learn":   m.refresh,
+		"learn2":  m.refresh,
+		"step":    m.plan,
+		"step2":   m.plan,
+		"step3":   m.plan,
 		"ask":     m.ask,
 		"ask2":    m.ask,
-		"send":    m.send,
-		"view":    m.view,
-		"view2":   m.view,
+		"send":    m.sendOrders,
+		"view":    m.refreshEntryHost,
+		"view2":   m.refreshEntryHost,
 		"run":     m.run,
-		"deliver": func(*rapid.T) { m.memory.Deliver() },
+		"deliver": func(*rapid.T) { m.memory.DeliverDelayed() },
 	})
 }
 
-// world is a data centre where all goes well, to show that waves end.
-func world(hosts, racks int) (*config.Document, platform.HostList) {
+// smallFleet is a data centre where all goes well, to show that waves end.
+func smallFleet(hosts, racks int) (*config.Document, platform.HostList) {
 	d := &config.Document{
 		DataCentres: []string{testDC},
 		Teams:       []config.Team{{Name: "t"}},
 		Pools: []config.Pool{{
 			Name: "a", Team: "t", Select: config.Selector{"pool": {"a"}},
-			Budget: config.Budget{Available: map[string]int{testDC: hosts / 2}},
+			Budget: config.Budget{MinAvailable: map[string]int{testDC: hosts / 2}},
 		}},
-		Waves: []config.Wave{{Name: "w", Pools: []string{"a"}, Limit: 2, Failures: 1, State: config.WaveRunning}},
+		Waves: []config.Wave{{Name: "w", Pools: []string{"a"}, MaxInMaintenance: 2, FailureLimit: 1, State: config.WaveRunning}},
 	}
 	var l platform.HostList
 	for n := range hosts {
@@ -485,14 +485,14 @@
 // TestWaveMaintainsEveryHost shows that a wave ends, with each host rebooted
 // once.
 func TestWaveMaintainsEveryHost(t *testing.T) {
-	d, l := world(12, 4)
+	d, l := smallFleet(12, 4)
 	now := time.Unix(1e9, 0)
 	r := Record{}
 	reboots := map[string]int{}
 	for range 200 {
 		now = now.Add(time.Second)
 		l.AsOf = now
-		o := Plan(Input{Now: now, Document: d, Generation: 1, DataCentre: testDC, Record: r, List: l, Idle: allIdle(r)})
+		o := Plan(Input{Now: now, Document: d, Generation: 1, DataCentre: testDC, Record: r, List: l, IdleTerms: allIdle(r)})
 		r = o.Record
 		r.Generation = 1
 		for _, v := range o.Orders {
@@ -512,24 +512,24 @@
 	}
 }
 
-// TestHostThatStaysAwayStopsTheWave shows that one host that does not come back
+// TestOverdueHostStopsWave shows that one host that does not come back
 // keeps the wave from going on, and that an operator is told.
-func TestHostThatStaysAwayStopsTheWave(t *testing.T) {
-	d, l := world(12, 4)
+func TestOverdueHostStopsWave(t *testing.T) {
+	d, l := smallFleet(12, 4)
 	now := time.Unix(1e9, 0)
 	r := Record{}
 	var last Output
 	for range 100 {
 		now = now.Add(time.Minute)
 		l.AsOf = now
-		last = Plan(Input{Now: now, Document: d, Generation: 1, DataCentre: testDC, Record: r, List: l, Idle: allIdle(r)})
+		last = Plan(Input{Now: now, Document: d, Generation: 1, DataCentre: testDC, Record: r, List: l, IdleTerms: allIdle(r)})
 		r = last.Record
 		r.Generation = 1
 	}
 	away := 0
 	for _, w := range r.Hosts {
 		require.NotEqual(t, Draining, w.State)
-		if w.State == Away {
+		if w.State == Overdue {
 			away++
 		}
 	}
@@ -537,48 +537,48 @@
 	require.Contains(t, last.Notes, "wave w is stopped: hosts have not come back")
 }
 
-// TestIdleOfAnEarlierDrainDoesNotCount shows that what was said for one drain
+// TestIdleOfEarlierTermIsIgnored shows that what was said for one drain
 // of a host does not stand for the next.
-func TestIdleOfAnEarlierDrainDoesNotCount(t *testing.T) {
-	d, l := world(12, 4)
+func TestIdleOfEarlierTermIsIgnored(t *testing.T) {
+	d, l := smallFleet(12, 4)
 	now := time.Unix(1e9, 0)
 	l.AsOf = now
-	r := Record{Hosts: map[string]Row{"h00000": {Pool: "a", State: Draining, Term: 5, Wave: "w"}}}
+	r := Record{Hosts: map[string]HostStatus{"h00000": {Pool: "a", State: Draining, Term: 5, Wave: "w"}}}
 	in := Input{Now: now, Document: d, Generation: 1, DataCentre: testDC, Record: r, List: l}
 	for term, want := range map[int64]State{4: Draining, 5: Rebooting, 6: Draining} {
-		in.Idle = map[string]int64{"h00000": term}
+		in.IdleTerms = map[string]int64{"h00000": term}
 		require.Equal(t, want, Plan(in).Record.Hosts["h00000"].State, term)
 	}
 }
 
 // A host that restarts by itself between the list and its order is not taken back
 // while that order may still be sent: it would end what runs there by then.
-func TestHostIsNotTakenBackBeforeItsOrderIsOver(t *testing.T) {
+func TestHostIsNotReturnedBeforeItsOrderExpires(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	at := func(boot int64, d time.Duration, r Record) Output {
 		return Plan(Input{
 			Now: now.Add(d), Generation: 1, DataCentre: testDC, Record: r,
 			Document: &config.Document{
 				DataCentres: []string{testDC}, Teams: []config.Team{{Name: "t"}},
-				Pools: []config.Pool{{Name: "a", Team: "t", Select: config.Selector{"pool": {"a"}}, Budget: config.Budget{Available: map[string]int{testDC: 0}}}},
-				Waves: []config.Wave{{Name: "w", Pools: []string{"a"}, Limit: 1, Failures: 1, State: config.WaveRunning}},
+				Pools: []config.Pool{{Name: "a", Team: "t", Select: config.Selector{"pool": {"a"}}, Budget: config.Budget{MinAvailable: map[string]int{testDC: 0}}}},
+				Waves: []config.Wave{{Name: "w", Pools: []string{"a"}, MaxInMaintenance: 1, FailureLimit: 1, State: config.WaveRunning}},
 			},
 			List: platform.HostList{AsOf: now.Add(d), Hosts: []platform.Host{
 				{Name: "h", DataCentre: testDC, Rack: "r", Labels: map[string]string{"pool": "a"}, Live: true, Boot: boot},
 			}},
 		})
 	}
-	r := Record{Version: 1, Generation: 1, Hosts: map[string]Row{"h": {Pool: "a", State: Drained, Term: 2, Wave: "w"}}}
+	r := Record{Version: 1, Generation: 1, Hosts: map[string]HostStatus{"h": {Pool: "a", State: Drained, Term: 2, Wave: "w"}}}
 	o := at(1, 0, r)
 	require.Len(t, o.Orders, 1)
 	require.Equal(t, Rebooting, o.Record.Hosts["h"].State)
 
 	early := at(2, time.Second, o.Record)
 	require.Equal(t, Rebooting, early.Record.Hosts["h"].State)
-	late := at(2, OrderLife, o.Record)
+	late := at(2, OrderTTL, o.Record)
 	require.Equal(t, InService, late.Record.Hosts["h"].State)
 
-	again := at(1, OrderLife, o.Record)
+	again := at(1, OrderTTL, o.Record)
 	require.Len(t, again.Orders, 1, "a sender that died before it sent the order")
 	require.Equal(t, o.Orders[0].Term, again.Orders[0].Term)
 	require.True(t, again.Orders[0].Deadline.After(o.Orders[0].Deadline))
--- a/fleet/plan_wave.go
+++ b/fleet/plan_wave.go
@@ -6,23 +6,23 @@
 	"amberway/config"
 )
 
-// waves drains the next hosts of each running wave.
-func (p *planner) waves() {
+// runWaves drains the next hosts of each running wave.
+func (p *planner) runWaves() {
 	for _, v := range p.Document.Waves {
 		if v.State == config.WaveRunning {
-			p.wave(v)
+			p.runWave(v)
 		}
 	}
 }
 
-func (p *planner) wave(v config.Wave) {
-	busy, away := p.inWave(v.Name)
-	if away >= v.Failures {
+func (p *planner) runWave(v config.Wave) {
+	busy, away := p.countInWave(v.Name)
+	if away >= v.FailureLimit {
 		p.note("wave " + v.Name + " is stopped: hosts have not come back")
 		return
 	}
 	for _, n := range p.candidates(v) {
-		if busy >= v.Limit {
+		if busy >= v.MaxInMaintenance {
 			return
 		}
 		w := p.out.Record.Hosts[n]
@@ -33,15 +33,15 @@
 	}
 }
 
-// inWave counts the hosts in maintenance for the wave and those of them that
+// countInWave counts the hosts in maintenance for the wave and those of them that
 // stay away.
-func (p *planner) inWave(name string) (busy, away int) {
+func (p *planner) countInWave(name string) (busy, away int) {
 	for _, w := range p.out.Record.Hosts {
 		if w.Wave != name {
 			continue
 		}
 		busy++
-		if w.State == Away {
+		if w.State == Overdue {
 			away++
 		}
 	}
@@ -85,12 +85,12 @@
 	return ""
 }
 
-// forget drops waves from the row that the configuration no longer has.
-func (p *planner) forget(name string, w Row) {
+// forgetWaves drops waves from the row that the configuration no longer has.
+func (p *planner) forgetWaves(name string, w HostStatus) {
 	keep := slices.DeleteFunc(slices.Clone(w.Done), func(n string) bool { return p.waveState(n) == "" })
 	if len(keep) == len(w.Done) {
 		return
 	}
 	w.Done = keep
-	p.set(name, w)
+	p.setHost(name, w)
 }
--- a/fleet/preview.go
+++ b/fleet/preview.go
@@ -7,8 +7,8 @@
 	"amberway/config"
 )
 
-// RebootGuess is what a preview takes a drain and a reboot to last.
-const RebootGuess = 5 * time.Minute
+// RebootEstimate is what a preview takes a drain and a reboot to last.
+const RebootEstimate = 5 * time.Minute
 
 // Preview is what a configuration comes to in one data centre before it is
 // applied.
@@ -59,7 +59,7 @@
 			p.HostMoves++
 		}
 	}
-	t := Tallies(in.Now, in.Document, in.DataCentre, o.Record, in.List)
+	t := PoolCapacities(in.Now, in.Document, in.DataCentre, o.Record, in.List)
 	for _, v := range t {
 		p.Buffer += v.Buffer()
 	}
@@ -71,7 +71,7 @@
 	return p
 }
 
-func previewWave(v config.Wave, r Record, t map[string]*Tally) WavePreview {
+func previewWave(v config.Wave, r Record, t map[string]*PoolCapacity) WavePreview {
 	w := WavePreview{Name: v.Name}
 	for _, h := range r.Hosts {
 		if slices.Contains(v.Pools, h.Pool) && !slices.Contains(h.Done, v.Name) {
@@ -79,16 +79,16 @@
 		}
 	}
 	for _, n := range v.Pools {
-		w.AtOnce += t[n].spare()
+		w.AtOnce += t[n].maxUnavailable()
 	}
-	w.AtOnce = min(w.AtOnce, v.Limit)
+	w.AtOnce = min(w.AtOnce, v.MaxInMaintenance)
 	if w.AtOnce > 0 {
-		w.RollOut = time.Duration((w.Hosts+w.AtOnce-1)/w.AtOnce) * RebootGuess
+		w.RollOut = time.Duration((w.Hosts+w.AtOnce-1)/w.AtOnce) * RebootEstimate
 	}
 	return w
 }
 
-// spare is how many hosts the pool may lose at once to maintenance.
-func (t *Tally) spare() int {
-	return max(0, t.Available-t.Need-t.LargestRack)
+// maxUnavailable is how many hosts the pool may lose at once to maintenance.
+func (t *PoolCapacity) maxUnavailable() int {
+	return max(0, t.Available-t.MinAvailable-t.LargestRack)
 }
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -21,22 +21,22 @@
 	Drained State = "drained"
 	// Rebooting hosts have been ordered to reboot.
 	Rebooting State = "rebooting"
-	// Away hosts have not come back from a reboot in time.
-	Away State = "away"
+	// Overdue hosts have not come back from a reboot in time.
+	Overdue State = "away"
 )
 
-// Row is what holds of one host.
-type Row struct {
+// HostStatus is what holds of one host.
+type HostStatus struct {
 	Pool  string `json:"pool"`
 	State State  `json:"state"`
 	// Term is raised with each drain and each order, and fences the ones
 	// before.
 	Term int64 `json:"term"`
-	// OrderBy is until when the order to reboot may be sent, each time with the
+	// OrderDeadline is until when the order to reboot may be sent, each time with the
 	// same term, which the platform takes once.
-	OrderBy time.Time `json:"order_by,omitzero"`
-	// ReturnBy is by when a host that is rebooting has to be back.
-	ReturnBy time.Time `json:"return_by,omitzero"`
+	OrderDeadline time.Time `json:"order_by,omitzero"`
+	// RebootDeadline is by when a host that is rebooting has to be back.
+	RebootDeadline time.Time `json:"return_by,omitzero"`
 	// Wave is the wave that the host is in maintenance for.
 	Wave string `json:"wave,omitempty"`
 	// Done are the waves of the configuration that the host has been through.
@@ -48,20 +48,20 @@
 	Moving bool `json:"moving,omitempty"`
 	// Boot is the host's boot count before the reboot.
 	Boot int64 `json:"boot,omitempty"`
-	// GoneAt is when a host that is off the list loses its row.
-	GoneAt time.Time `json:"gone_at,omitzero"`
+	// RemoveAt is when a host that is off the list loses its row.
+	RemoveAt time.Time `json:"gone_at,omitzero"`
 }
 
 // Record is the rows of one data centre.
 type Record struct {
 	// Version only grows.
 	Version int64 `json:"version"`
-	// Write is the id of the write that made it.
-	Write string `json:"write"`
+	// WriteID is the id of the write that made it.
+	WriteID string `json:"write"`
 	// Generation is the configuration that it was made under. A coordinator
 	// with an older one does not write.
-	Generation int64          `json:"generation"`
-	Hosts      map[string]Row `json:"hosts"`
+	Generation int64                 `json:"generation"`
+	Hosts      map[string]HostStatus `json:"hosts"`
 	// Placement gives the hosts of each job that is not on all hosts of its
 	// pool.
 	Placement Placement `json:"placement,omitempty"`
@@ -75,14 +75,14 @@
 func (r Record) Clone() Record {
 	r.Hosts = maps.Clone(r.Hosts)
 	if r.Hosts == nil {
-		r.Hosts = map[string]Row{}
+		r.Hosts = map[string]HostStatus{}
 	}
 	return r
 }
 
-// draining reports whether any host waits for entry hosts to say that it is
+// hasDraining reports whether any host waits for entry hosts to say that it is
 // idle, which nothing but asking them tells.
-func (r Record) draining() bool {
+func (r Record) hasDraining() bool {
 	for _, w := range r.Hosts {
 		if w.State == Draining {
 			return true
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -17,11 +17,11 @@
 
 // Times of a view.
 const (
-	// listEvery is how often the host list is read. A leaving host gets no new
+	// listInterval is how often the host list is read. A leaving host gets no new
 	// work within three seconds of the list's word.
-	listEvery = time.Second
-	// confirmEvery bounds how long a watch that died unnoticed goes unnoticed.
-	confirmEvery = 10 * time.Second
+	listInterval = time.Second
+	// rereadInterval bounds how long a watch that died unnoticed goes unnoticed.
+	rereadInterval = 10 * time.Second
 )
 
 // Snapshot is what is known of one data centre. It is never changed.
@@ -101,9 +101,9 @@
 	if err != nil {
 		return err
 	}
-	wctx, cancel := context.WithTimeout(ctx, confirmEvery+rand.N(confirmEvery/4))
+	wctx, cancel := context.WithTimeout(ctx, rereadInterval+rand.N(rereadInterval/4))
 	defer cancel()
-	err = v.store.Watch(wctx, RecordKey(v.dc), rev, v.events)
+	err = v.store.Watch(wctx, RecordKey(v.dc), rev, v.applyEvents)
 	if wctx.Err() != nil {
 		return nil
 	}
@@ -117,12 +117,12 @@
 	if err != nil || !ok {
 		return known, err
 	}
-	return e.Revision, v.take(e)
+	return e.Revision, v.offerEntry(e)
 }
 
-// Relearn reads the record and the list, after a pause in which both may have
+// Reload reads the record and the list, after a pause in which both may have
 // changed.
-func (v *View) Relearn(ctx context.Context) error {
+func (v *View) Reload(ctx context.Context) error {
 	if _, err := v.Refresh(ctx); err != nil {
 		return err
 	}
@@ -134,35 +134,35 @@
 	return nil
 }
 
-func (v *View) events(l []platform.Event) {
+func (v *View) applyEvents(l []platform.Event) {
 	for _, e := range l {
 		if e.Key != RecordKey(v.dc) || e.Deleted {
 			continue
 		}
-		if err := v.take(e.Entry); err != nil {
+		if err := v.offerEntry(e.Entry); err != nil {
 			v.log.Errorf("record not understood: %v", err)
 		}
 	}
 }
 
-func (v *View) take(e platform.Entry) error {
+func (v *View) offerEntry(e platform.Entry) error {
 	r, err := DecodeRecord(e.Value)
 	if err != nil {
 		return err
 	}
-	v.Offer(r, e.Revision)
+	v.OfferRecord(r, e.Revision)
 	return nil
 }
 
-// Offer takes in a record unless a newer one is known.
-func (v *View) Offer(r Record, rev platform.Revision) {
+// OfferRecord takes in a record unless a newer one is known.
+func (v *View) OfferRecord(r Record, rev platform.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	c := v.Current()
 	if r.Version < c.Record.Version || (r.Version == c.Record.Version && rev <= c.Revision) {
 		return
 	}
-	v.put(newSnapshot(r, rev, c.List, c.ListedAt))
+	v.publish(newSnapshot(r, rev, c.List, c.ListedAt))
 }
 
 // OfferList takes in a host list unless a newer one is known.
@@ -180,7 +180,7 @@
 		v.current.Store(&n)
 		return
 	}
-	v.put(newSnapshot(c.Record, c.Revision, l, v.now()))
+	v.publish(newSnapshot(c.Record, c.Revision, l, v.now()))
 }
 
 // sameHosts reports whether both are the very same slice, which the host list
@@ -189,7 +189,7 @@
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
-func (v *View) put(s *Snapshot) {
+func (v *View) publish(s *Snapshot) {
 	v.current.Store(s)
 	v.onChange(s)
 }
@@ -205,7 +205,7 @@
 			v.log.Warnf("host list not read: %v", err)
 		}
 		failed = err != nil
-		common.Sleep(ctx, listEvery-listEvery/8+rand.N(listEvery/4))
+		common.Sleep(ctx, listInterval-listInterval/8+rand.N(listInterval/4))
 	}
 }
 
--- a/internal/local/cmd/capacity/main.go
+++ b/internal/local/cmd/capacity/main.go
@@ -23,15 +23,15 @@
 	pools   int
 }
 
-// settle is how long a deployment runs before it is measured, and measure how
+// warmUp is how long a deployment runs before it is measured, and measure how
 // long it is.
 const (
-	settle  = 4 * time.Second
-	measure = 10 * time.Second
+	warmUp      = 4 * time.Second
+	measureTime = 10 * time.Second
 )
 
 func main() {
-	sizes := pick([]size{
+	sizes := selectSizes([]size{
 		{3, 100, 5},
 		{9, 100, 5},
 		{18, 100, 5},
@@ -45,14 +45,14 @@
 	})
 	fmt.Println("entry hosts  hosts  pools  cpu % of a core  memory MB  KB/s  reads/s  writes/s  apply s")
 	for _, s := range sizes {
-		if err := one(s); err != nil {
+		if err := measureSize(s); err != nil {
 			fmt.Fprintln(os.Stderr, "capacity:", err)
 			os.Exit(1)
 		}
 	}
 }
 
-func one(s size) error {
+func measureSize(s size) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	return local.Run(ctx, local.Options{DataCentres: []string{"north"}, Entries: s.entries}, func(ctx context.Context, d *local.Deployment) error {
@@ -62,14 +62,14 @@
 		if _, err := d.Apply(ctx, document(s, 0), 0); err != nil {
 			return err
 		}
-		time.Sleep(settle)
+		time.Sleep(warmUp)
 		return report(ctx, d, s)
 	})
 }
 
-// pick keeps the sizes with the number of entry hosts that the command line
+// selectSizes keeps the sizes with the number of entry hosts that the command line
 // names, or all.
-func pick(l []size) []size {
+func selectSizes(l []size) []size {
 	if len(os.Args) < 2 {
 		return l
 	}
@@ -82,21 +82,21 @@
 	for n := range s.hosts {
 		l = append(l, platform.Host{
 			Name: fmt.Sprintf("host-%05d", n), Address: netip.MustParseAddrPort("127.0.0.1:9"), DataCentre: "north",
-			Rack: fmt.Sprint("rack-", n/4), Labels: map[string]string{"pool": pool(n % s.pools)},
+			Rack: fmt.Sprint("rack-", n/4), Labels: map[string]string{"pool": poolName(n % s.pools)},
 			Live: true, Boot: 1, Slots: 8, Connections: 64, Accelerators: 1,
 		})
 	}
 	return l
 }
 
-func pool(n int) string {
+func poolName(n int) string {
 	return fmt.Sprintf("pool-%03d", n)
 }
 
 func document(s size, available int) []byte {
 	names := make([]string, 0, s.pools)
 	for n := range s.pools {
-		names = append(names, pool(n))
+		names = append(names, poolName(n))
 	}
 	doc := string(local.Document([]string{"north"}, names, 0))
 	return []byte(strings.Replace(doc, "north: 0", fmt.Sprintf("north: %d", available), 1))
@@ -116,7 +116,7 @@
 		return err
 	}
 	start := time.Now()
-	time.Sleep(measure)
+	time.Sleep(measureTime)
 	took := time.Since(start).Seconds()
 	var most local.Usage
 	for i, e := range d.Entries {
@@ -125,8 +125,8 @@
 			return err
 		}
 		most.CPU = max(most.CPU, u.CPU-before[i].CPU)
-		most.Moved = max(most.Moved, u.Moved-before[i].Moved)
-		most.Resident = max(most.Resident, u.Resident)
+		most.IOBytes = max(most.IOBytes, u.IOBytes-before[i].IOBytes)
+		most.ResidentBytes = max(most.ResidentBytes, u.ResidentBytes)
 	}
 	after, err := d.Stats()
 	if err != nil {
@@ -137,7 +137,7 @@
 		return err
 	}
 	fmt.Printf("%11d  %5d  %5d  %15.2f  %9.1f  %4.1f  %7.1f  %8.2f  %7.3f\n", s.entries, s.hosts, s.pools,
-		100*most.CPU.Seconds()/took, float64(most.Resident)/(1<<20), float64(most.Moved)/took/1024,
+		100*most.CPU.Seconds()/took, float64(most.ResidentBytes)/(1<<20), float64(most.IOBytes)/took/1024,
 		float64(after.Reads+after.Watches-calls.Reads-calls.Watches)/took, float64(after.Writes-calls.Writes)/took, applied.Seconds())
 	return nil
 }
--- a/internal/local/cmd/demo/main.go
+++ b/internal/local/cmd/demo/main.go
@@ -30,8 +30,8 @@
 		DataCentres: []string{"north", "south"},
 		Entries:     2,
 		Targets:     map[string]int{"tint": 3, "recipes": 3},
-		Rack:        1,
-	}, show)
+		RackSize:    1,
+	}, runDemo)
 }
 
 // loadCount and loadInterval make a load of about eight seconds.
@@ -40,7 +40,7 @@
 	loadInterval = 10 * time.Millisecond
 )
 
-func show(ctx context.Context, d *local.Deployment) error {
+func runDemo(ctx context.Context, d *local.Deployment) error {
 	names := []string{"tint", "recipes"}
 	first, err := d.Apply(ctx, local.Document(d.DataCentres, names, 0), 0)
 	if err != nil {
@@ -53,7 +53,7 @@
 	if err := d.WaitReady(); err != nil {
 		return err
 	}
-	tally := make(chan standin.Tally, 1)
+	tally := make(chan standin.LoadReport, 1)
 	go func() { tally <- standin.NewCaller().Run(ctx, load(d)) }()
 	time.Sleep(time.Second)
 	second, err := d.Apply(ctx, local.Document(d.DataCentres, names, 1), 1)
@@ -74,19 +74,19 @@
 func load(d *local.Deployment) standin.Load {
 	return standin.Load{
 		Entries: d.URLs(),
-		Paths: []standin.Path{
-			{Path: "/tint/quick", Within: 2 * time.Second},
-			{Path: "/recipes/patient", Within: 10 * time.Second, Run: 20 * time.Millisecond},
-			{Path: "/recipes/quick", Within: 2 * time.Second},
-			{Path: "/tint/once", Within: 10 * time.Second, Once: true, Run: 20 * time.Millisecond},
+		Requests: []standin.Request{
+			{Path: "/tint/quick", Timeout: 2 * time.Second},
+			{Path: "/recipes/patient", Timeout: 10 * time.Second, RunTime: 20 * time.Millisecond},
+			{Path: "/recipes/quick", Timeout: 2 * time.Second},
+			{Path: "/tint/once", Timeout: 10 * time.Second, AtMostOnce: true, RunTime: 20 * time.Millisecond},
 		},
 		Count:    loadCount,
 		Interval: loadInterval,
 	}
 }
 
-func report(ctx context.Context, d *local.Deployment, t standin.Tally, first, second time.Duration) error {
-	doubled, err := d.Doubled()
+func report(ctx context.Context, d *local.Deployment, t standin.LoadReport, first, second time.Duration) error {
+	doubled, err := d.DuplicateRuns()
 	if err != nil {
 		return err
 	}
@@ -112,10 +112,10 @@
 		{"refused as not run", t.NotRun},
 		{"may have run", t.MayHaveRun},
 		{"lost", t.Lost},
-		{"crossed", t.Crossed},
+		{"crossed", t.Mismatched},
 		{"doubled", len(doubled)},
 		{"jobs moved in the north", status.JobMoves},
-		{"longest answer", t.Longest.Round(time.Millisecond)},
+		{"longest answer", t.MaxLatency.Round(time.Millisecond)},
 		{"first configuration in force everywhere", first.Round(time.Millisecond)},
 		{"second configuration in force everywhere", second.Round(time.Millisecond)},
 		{"exit code of the stopped entry host", code},
@@ -126,7 +126,7 @@
 	for _, h := range hosts {
 		fmt.Printf("%-42s %s\n", "host "+h.Name, h.State)
 	}
-	if t.Lost+t.Crossed+len(doubled)+t.Late > 0 || t.Answered < t.Sent*9/10 || code != 0 {
+	if t.Lost+t.Mismatched+len(doubled)+t.Late > 0 || t.Answered < t.Sent*9/10 || code != 0 {
 		return fmt.Errorf("something was lost, late, crossed or doubled, or too little was answered")
 	}
 	return nil
--- a/internal/local/cmd/profile/main.go
+++ b/internal/local/cmd/profile/main.go
@@ -28,14 +28,14 @@
 
 // options say what is run.
 type options struct {
-	Workers int           `arg:"--workers" default:"350" help:"workers of the deployment, in four pools"`
-	Jobs    float64       `arg:"--jobs" default:"60" help:"jobs handed in a second"`
-	Tasks   int           `arg:"--tasks" default:"8" help:"tasks of a job"`
-	Run     time.Duration `arg:"--run" default:"640ms" help:"what a task takes"`
-	For     time.Duration `arg:"--for" default:"8s" help:"how long the owner is profiled"`
-	Settle  time.Duration `arg:"--settle" default:"4s" help:"how long the load runs before that; the owner moves idle workers to the spare pool meanwhile"`
-	Keep    string        `arg:"--keep" help:"file to keep the profile in" placeholder:"FILE"`
-	Build   string        `arg:"--build" help:"folder with an amberwayd to run in place of this one" placeholder:"DIR"`
+	Workers  int           `arg:"--workers" default:"350" help:"workers of the deployment, in four pools"`
+	Jobs     float64       `arg:"--jobs" default:"60" help:"jobs handed in a second"`
+	Tasks    int           `arg:"--tasks" default:"8" help:"tasks of a job"`
+	TaskTime time.Duration `arg:"--run" default:"640ms" help:"what a task takes"`
+	Duration time.Duration `arg:"--for" default:"8s" help:"how long the owner is profiled"`
+	WarmUp   time.Duration `arg:"--settle" default:"4s" help:"how long the load runs before that; the owner moves idle workers to the spare pool meanwhile"`
+	Output   string        `arg:"--keep" help:"file to keep the profile in" placeholder:"FILE"`
+	BinDir   string        `arg:"--build" help:"folder with an amberwayd to run in place of this one" placeholder:"DIR"`
 }
 
 func main() {
@@ -56,7 +56,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	bin := o.Build
+	bin := o.BinDir
 	if bin == "" {
 		if bin, err = local.Build(ctx, dir); err != nil {
 			return err
@@ -66,22 +66,22 @@
 	for _, p := range pools {
 		workers[p] = o.Workers / len(pools)
 	}
-	j, err := local.StartJobs(bin, dir, local.JobsOptions{Entries: 3, Workers: workers, Profile: true})
+	j, err := local.StartJobsDeployment(bin, dir, local.JobsOptions{Entries: 3, Workers: workers, Profile: true})
 	defer j.Stop()
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go handIn(load, j, o)
-	time.Sleep(o.Settle)
-	return report(j, o)
+	go submitJobs(load, j, o)
+	time.Sleep(o.WarmUp)
+	return profileOwner(j, o)
 }
 
 var pools = []string{"blue", "green", "red", "violet"}
 
-// handIn hands jobs in until the context ends.
-func handIn(ctx context.Context, j *local.Jobs, o options) {
+// submitJobs hands jobs in until the context ends.
+func submitJobs(ctx context.Context, j *local.JobsDeployment, o options) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / o.Jobs))
 	defer t.Stop()
 	for n := 0; ; n++ {
@@ -90,7 +90,7 @@
 			return
 		case <-t.C:
 		}
-		work := fleet.Job{Spec: o.Run.String(), Steps: []fleet.Step{{Count: o.Tasks, CPU: 1500, MemMB: 500, Estimate: int(o.Run.Milliseconds())}}}
+		work := fleet.Job{Spec: o.TaskTime.String(), Steps: []fleet.Step{{Count: o.Tasks, CPU: 1500, MemMB: 500, EstimateMs: int(o.TaskTime.Milliseconds())}}}
 		go func() {
 			id := fmt.Sprintf("%016x", rand.Uint64())
 			if code, _, err := j.Entry(n%3).Call(http.MethodPost, pools[n%len(pools)], id, work); err != nil || code != http.StatusOK {
@@ -100,17 +100,17 @@
 	}
 }
 
-// report profiles the owner and prints its time by what it is for.
-func report(j *local.Jobs, o options) error {
+// profileOwner profiles the owner and prints its time by what it is for.
+func profileOwner(j *local.JobsDeployment, o options) error {
 	owner := j.Owner()
 	if owner == nil {
 		return fmt.Errorf("nobody owns the jobs")
 	}
-	before, err := starts(owner)
+	before, err := startCount(owner)
 	if err != nil {
 		return err
 	}
-	res, err := http.Get(fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", owner.Peers, int(o.For.Seconds())))
+	res, err := http.Get(fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", owner.Peers, int(o.Duration.Seconds())))
 	if err != nil {
 		return err
 	}
@@ -119,12 +119,12 @@
 	if err != nil {
 		return err
 	}
-	if o.Keep != "" {
-		if err := os.WriteFile(o.Keep, b, 0o600); err != nil {
+	if o.Output != "" {
+		if err := os.WriteFile(o.Output, b, 0o600); err != nil {
 			return err
 		}
 	}
-	after, err := starts(owner)
+	after, err := startCount(owner)
 	if err != nil {
 		return err
 	}
@@ -132,11 +132,11 @@
 	if err != nil {
 		return err
 	}
-	return printTable(sum(p), (after-before)/o.For.Seconds(), o)
+	return printTable(sumByCategory(p), (after-before)/o.Duration.Seconds(), o)
 }
 
-// starts returns how many starts the owner has ordered, by its metrics.
-func starts(e *local.JobsEntry) (float64, error) {
+// startCount returns how many starts the owner has ordered, by its metrics.
+func startCount(e *local.JobsEntry) (float64, error) {
 	res, err := http.Get(fmt.Sprintf("http://%s/metrics", e.Peers))
 	if err != nil {
 		return 0, err
@@ -160,8 +160,8 @@
 	return n, nil
 }
 
-// matters are what the time goes into: the first whose function is on a stack has it.
-var matters = []struct{ name, function string }{
+// categories are what the time goes into: the first whose function is on a stack has it.
+var categories = []struct{ name, function string }{
 	{"garbage", "runtime.gcBgMarkWorker"},
 	{"garbage", "runtime.gcAssistAlloc"},
 	{"log", "job.(*Journal)"},
@@ -185,17 +185,17 @@
 	{"scheduler of the runtime", "runtime.mstart"},
 }
 
-// sum adds up the processor time by matter.
-func sum(p *profile.Profile) map[string]time.Duration {
+// sumByCategory adds up the processor time by matter.
+func sumByCategory(p *profile.Profile) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for _, s := range p.Sample {
-		all[matterOf(s)] += time.Duration(s.Value[len(s.Value)-1])
+		all[categoryOf(s)] += time.Duration(s.Value[len(s.Value)-1])
 	}
 	return all
 }
 
-func matterOf(s *profile.Sample) string {
-	for _, m := range matters {
+func categoryOf(s *profile.Sample) string {
+	for _, m := range categories {
 		for _, l := range s.Location {
 			if slices.ContainsFunc(l.Line, func(n profile.Line) bool { return strings.Contains(n.Function.Name, m.function) }) {
 				return m.name
@@ -214,11 +214,11 @@
 	}
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(all[b], all[a]) })
 	fmt.Printf("%d workers, %.0f starts a second, %.1f %% of a core, %.0f us a start\n\n", o.Workers, perSecond,
-		100*total.Seconds()/o.For.Seconds(), total.Seconds()/o.For.Seconds()/max(1, perSecond)*1e6)
+		100*total.Seconds()/o.Duration.Seconds(), total.Seconds()/o.Duration.Seconds()/max(1, perSecond)*1e6)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "for\tshare %\tms a second\t")
 	for _, n := range names {
-		fmt.Fprintf(w, "%s\t%.1f\t%.2f\t\n", n, 100*float64(all[n])/float64(total), all[n].Seconds()/o.For.Seconds()*1e3)
+		fmt.Fprintf(w, "%s\t%.1f\t%.2f\t\n", n, 100*float64(all[n])/float64(total), all[n].Seconds()/o.Duration.Seconds()*1e3)
 	}
 	return w.Flush()
 }
--- a/internal/local/deployment.go
+++ b/internal/local/deployment.go
@@ -36,10 +36,10 @@
 	Targets map[string]int
 	// Slots is the number of slots of each target; 8 if zero.
 	Slots int
-	// Rack is the number of targets of a pool to a rack; 4 if zero.
-	Rack int
-	// Reboot is how long a reboot takes; one second if zero.
-	Reboot time.Duration
+	// RackSize is the number of targets of a pool to a rack; 4 if zero.
+	RackSize int
+	// RebootTime is how long a reboot takes; one second if zero.
+	RebootTime time.Duration
 }
 
 // Entry is one entry host.
@@ -109,11 +109,11 @@
 	if o.Slots == 0 {
 		o.Slots = 8
 	}
-	if o.Rack == 0 {
-		o.Rack = hostsPerRack
+	if o.RackSize == 0 {
+		o.RackSize = defaultRackSize
 	}
-	if o.Reboot == 0 {
-		o.Reboot = time.Second
+	if o.RebootTime == 0 {
+		o.RebootTime = time.Second
 	}
 	d := &Deployment{Options: o, dir: dir, bin: bin, platforms: map[string]netip.AddrPort{}}
 	if err := d.startPlatform(); err != nil {
@@ -124,7 +124,7 @@
 	}
 	for _, dc := range o.DataCentres {
 		for n := range o.Entries {
-			if err := d.newEntry(fmt.Sprintf("entry-%s-%d", dc, n), dc); err != nil {
+			if err := d.addEntry(fmt.Sprintf("entry-%s-%d", dc, n), dc); err != nil {
 				return d, err
 			}
 		}
@@ -138,7 +138,7 @@
 }
 
 func (d *Deployment) startPlatform() error {
-	args := []string{"platform", "--reboot", d.Reboot.String()}
+	args := []string{"platform", "--reboot", d.RebootTime.String()}
 	for _, dc := range append([]string{"control"}, d.DataCentres...) {
 		a, err := freePort()
 		if err != nil {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	return waitFor(5*time.Second, func() error { return d.control(http.MethodGet, "/standin/stats", nil, nil) })
+	return waitFor(5*time.Second, func() error { return d.callControl(http.MethodGet, "/standin/stats", nil, nil) })
 }
 
 func (d *Deployment) startTargets(ctx context.Context) error {
@@ -160,7 +160,7 @@
 	for _, dc := range d.DataCentres {
 		for pool, n := range d.Options.Targets {
 			for i := range n {
-				t, err := d.newTarget(fmt.Sprintf("%s-%s-%d", pool, dc, i), dc, pool, i)
+				t, err := d.startTarget(fmt.Sprintf("%s-%s-%d", pool, dc, i), dc, pool, i)
 				if err != nil {
 					return err
 				}
@@ -171,16 +171,16 @@
 	return d.SetHosts(ctx, l)
 }
 
-// hostsPerRack is the usual number of workers to a rack.
-const hostsPerRack = 4
+// defaultRackSize is the usual number of workers to a rack.
+const defaultRackSize = 4
 
-func (d *Deployment) newTarget(name, dc, pool string, i int) (*Target, error) {
+func (d *Deployment) startTarget(name, dc, pool string, i int) (*Target, error) {
 	a, err := freePort()
 	if err != nil {
 		return nil, err
 	}
 	t := &Target{Host: platform.Host{
-		Name: name, Address: a, DataCentre: dc, Rack: fmt.Sprintf("%s-rack-%d", dc, i/d.Rack),
+		Name: name, Address: a, DataCentre: dc, Rack: fmt.Sprintf("%s-rack-%d", dc, i/d.RackSize),
 		Labels: map[string]string{"pool": pool}, Live: true, Boot: 1, Slots: d.Slots, Connections: 64,
 		Processors: 16, MemoryBytes: 32 << 30,
 	}}
@@ -189,7 +189,7 @@
 	return t, err
 }
 
-func (d *Deployment) newEntry(name, dc string) error {
+func (d *Deployment) addEntry(name, dc string) error {
 	e := &Entry{DataCentre: dc, Process: &Process{Name: name}}
 	for _, a := range []*netip.AddrPort{&e.Callers, &e.Admin, &e.Peers} {
 		p, err := freePort()
@@ -251,34 +251,34 @@
 	d.Platform.Kill()
 }
 
-// Faults switches the platform's faults for one data centre or for all.
-func (d *Deployment) Faults(listener string, f standin.Fault) error {
-	return d.control(http.MethodPost, "/standin/faults?listener="+listener, f, nil)
+// SetPlatformFault switches the platform's faults for one data centre or for all.
+func (d *Deployment) SetPlatformFault(listener string, f standin.Fault) error {
+	return d.callControl(http.MethodPost, "/standin/faults?listener="+listener, f, nil)
 }
 
 // SetHosts adds or replaces hosts in the platform's list.
 func (d *Deployment) SetHosts(_ context.Context, l []platform.Host) error {
-	return d.control(http.MethodPost, "/standin/hosts", l, nil)
+	return d.callControl(http.MethodPost, "/standin/hosts", l, nil)
 }
 
 // Stats returns how many calls the platform took.
 func (d *Deployment) Stats() (standin.Stats, error) {
 	var s standin.Stats
-	return s, d.control(http.MethodGet, "/standin/stats", nil, &s)
+	return s, d.callControl(http.MethodGet, "/standin/stats", nil, &s)
 }
 
-func (d *Deployment) control(method, path string, body, v any) error {
-	return call(method, "http://"+d.platforms["control"].String()+path, body, v)
+func (d *Deployment) callControl(method, path string, body, v any) error {
+	return callJSON(method, "http://"+d.platforms["control"].String()+path, body, v)
 }
 
 // Runs returns what the target has run.
-func (t *Target) Runs() (standin.Runs, error) {
-	var r standin.Runs
-	err := call(http.MethodGet, "http://"+t.Host.Address.String()+"/standin/runs", nil, &r)
+func (t *Target) Runs() (standin.RunStats, error) {
+	var r standin.RunStats
+	err := callJSON(http.MethodGet, "http://"+t.Host.Address.String()+"/standin/runs", nil, &r)
 	return r, err
 }
 
-// Fault switches the target's fault.
-func (t *Target) Fault(f standin.Fault) error {
-	return call(http.MethodPost, "http://"+t.Host.Address.String()+"/standin/faults", f, nil)
+// SetFault switches the target's fault.
+func (t *Target) SetFault(f standin.Fault) error {
+	return callJSON(http.MethodPost, "http://"+t.Host.Address.String()+"/standin/faults", f, nil)
 }
--- a/internal/local/document.go
+++ b/internal/local/document.go
@@ -67,7 +67,7 @@
 func (d *Deployment) WaitReady() error {
 	return waitFor(10*time.Second, func() error {
 		for _, e := range d.Entries {
-			if err := call(http.MethodGet, "http://"+e.Admin.String()+"/readyz", nil, nil); err != nil {
+			if err := callJSON(http.MethodGet, "http://"+e.Admin.String()+"/readyz", nil, nil); err != nil {
 				return err
 			}
 		}
@@ -110,8 +110,8 @@
 	return l
 }
 
-// Doubled returns the ids that were run more than once, over all targets.
-func (d *Deployment) Doubled() ([]string, error) {
+// DuplicateRuns returns the ids that were run more than once, over all targets.
+func (d *Deployment) DuplicateRuns() ([]string, error) {
 	all, err := d.RunsByID()
 	if err != nil {
 		return nil, err
--- a/internal/local/entry.go
+++ b/internal/local/entry.go
@@ -16,16 +16,16 @@
 type JobsEntry struct {
 	// Process is another one after each restart.
 	*Process
-	Name    string
-	Callers netip.AddrPort
-	Peers   netip.AddrPort
-	ready   netip.AddrPort
-	file    string
+	Name         string
+	Callers      netip.AddrPort
+	Peers        netip.AddrPort
+	readyAddr    netip.AddrPort
+	settingsFile string
 }
 
 // Ready reports whether the entry host calls itself ready.
 func (e *JobsEntry) Ready() bool {
-	res, err := http.Get("http://" + e.ready.String() + "/ready")
+	res, err := http.Get("http://" + e.readyAddr.String() + "/ready")
 	if err != nil {
 		return false
 	}
@@ -35,17 +35,17 @@
 
 // Call makes one caller's request and returns the status and the body.
 func (e *JobsEntry) Call(method, queue, id string, body any) (int, string, error) {
-	return e.CallWith(teamKey, method, queue, id, body)
+	return e.CallWithKey(permanentKey, method, queue, id, body)
 }
 
-// Waiting returns the request for how many jobs of a queue wait, as it goes over a
+// QueueLengthRequest returns the request for how many jobs of a queue wait, as it goes over a
 // connection.
-func (e *JobsEntry) Waiting(queue string) string {
-	return fmt.Sprintf("GET %s%s/ HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n\r\n", fleet.QueuePrefix, queue, fleet.JobsHost, teamKey)
+func (e *JobsEntry) QueueLengthRequest(queue string) string {
+	return fmt.Sprintf("GET %s%s/ HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n\r\n", fleet.QueuePrefix, queue, fleet.JobsHost, permanentKey)
 }
 
-// CallWith is Call with another key.
-func (e *JobsEntry) CallWith(key, method, queue, id string, body any) (int, string, error) {
+// CallWithKey is Call with another key.
+func (e *JobsEntry) CallWithKey(key, method, queue, id string, body any) (int, string, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return 0, "", err
--- a/internal/local/jobs.go
+++ b/internal/local/jobs.go
@@ -21,23 +21,23 @@
 	Entries int
 	// Workers are the machines of each pool.
 	Workers map[string]int
-	// Spare is how many machines are switched off.
-	Spare int
+	// SpareMachines is how many machines are switched off.
+	SpareMachines int
 	// Profile has entry hosts serve profiles beside their metrics.
 	Profile bool
 	// KeysWithin, if not zero, has callers need the key of a team, and says how long one
 	// that was taken away may go on working.
 	KeysWithin time.Duration
-	// DownFor is how long a move or upkeep takes; 300 milliseconds if zero.
-	DownFor time.Duration
-	// Via returns the address by which an entry host reaches one of the
+	// Downtime is how long a move or upkeep takes; 300 milliseconds if zero.
+	Downtime time.Duration
+	// ProxyAddress returns the address by which an entry host reaches one of the
 	// platform's; the same if nil.
-	Via func(entry, address string) (string, error)
+	ProxyAddress func(entry, address string) (string, error)
 }
 
-// Jobs is a deployment that serves jobs: the platform's stand-ins in this
+// JobsDeployment is a deployment that serves jobs: the platform's stand-ins in this
 // process, and entry hosts as processes of their own.
-type Jobs struct {
+type JobsDeployment struct {
 	JobsOptions
 	Fleet   *fleet.Fleet
 	Entries []*JobsEntry
@@ -57,26 +57,26 @@
 var machineSize = fleet.Capacity{CPU: 8000, MemMB: 16000}
 
 // AddMachine adds a machine to a pool.
-func (j *Jobs) AddMachine(pool string) error {
+func (j *JobsDeployment) AddMachine(pool string) error {
 	return j.Fleet.Add(pool, 1, machineSize)
 }
 
-// StartJobs starts a deployment and waits until each entry host is ready. The
+// StartJobsDeployment starts a deployment and waits until each entry host is ready. The
 // caller has to Stop it, also after an error.
-func StartJobs(bin, dir string, o JobsOptions) (*Jobs, error) {
-	if o.DownFor == 0 {
-		o.DownFor = 300 * time.Millisecond
+func StartJobsDeployment(bin, dir string, o JobsOptions) (*JobsDeployment, error) {
+	if o.Downtime == 0 {
+		o.Downtime = 300 * time.Millisecond
 	}
-	if o.Via == nil {
-		o.Via = func(_, address string) (string, error) { return address, nil }
+	if o.ProxyAddress == nil {
+		o.ProxyAddress = func(_, address string) (string, error) { return address, nil }
 	}
-	j := &Jobs{JobsOptions: o, Fleet: fleet.New(SparePool, o.DownFor), dir: dir, bin: bin}
+	j := &JobsDeployment{JobsOptions: o, Fleet: fleet.New(SparePool, o.Downtime), dir: dir, bin: bin}
 	for pool, n := range o.Workers {
 		if err := j.Fleet.Add(pool, n, machineSize); err != nil {
 			return j, err
 		}
 	}
-	if err := j.Fleet.Add(SparePool, o.Spare, machineSize); err != nil {
+	if err := j.Fleet.Add(SparePool, o.SpareMachines, machineSize); err != nil {
 		return j, err
 	}
 	if err := j.Configure(); err != nil {
@@ -97,7 +97,7 @@
 
 // Configure writes the next configuration: one queue for each pool, and those
 // named besides, which run on the first pool.
-func (j *Jobs) Configure(more ...string) error {
+func (j *JobsDeployment) Configure(more ...string) error {
 	j.version += 3
 	pools := slices.Sorted(maps.Keys(j.Workers))
 	var queues []fleet.Queue
@@ -109,13 +109,13 @@
 	}
 	c := fleet.Config{Version: j.version, Pools: pools, Queues: queues}
 	if j.KeysWithin > 0 {
-		c.Teams = []fleet.Team{{Name: "team", Keys: []string{teamKey, KeyWith(more...)}, Weight: 100, Cap: fleet.Capacity{CPU: j.teamCap()}}}
+		c.Teams = []fleet.Team{{Name: "team", Keys: []string{permanentKey, KeyForQueues(more...)}, Weight: 100, Cap: fleet.Capacity{CPU: j.teamCap()}}}
 	}
 	return j.Fleet.Configure(c)
 }
 
 // teamCap is what the team may have running, in thousandths of a core: six tenths of all.
-func (j *Jobs) teamCap() int64 {
+func (j *JobsDeployment) teamCap() int64 {
 	n := 0
 	for _, w := range j.Workers {
 		n += w
@@ -123,48 +123,48 @@
 	return machineSize.CPU * int64(n) * 6 / 10
 }
 
-// teamKey is the key of all callers, which stays; KeyWith returns the one that a
+// permanentKey is the key of all callers, which stays; KeyWith returns the one that a
 // configuration with the queues has besides.
-const teamKey = "key-that-stays"
+const permanentKey = "key-that-stays"
 
-// KeyWith returns the key that only the configuration with these queues besides has.
-func KeyWith(queues ...string) string {
+// KeyForQueues returns the key that only the configuration with these queues besides has.
+func KeyForQueues(queues ...string) string {
 	return "key-" + strings.Join(queues, "-")
 }
 
-func (j *Jobs) newEntry(name string) (*JobsEntry, error) {
-	e := &JobsEntry{Name: name, Process: &Process{Name: name}, file: filepath.Join(j.dir, name+".yaml")}
-	for _, a := range []*netip.AddrPort{&e.Callers, &e.ready, &e.Peers} {
+func (j *JobsDeployment) newEntry(name string) (*JobsEntry, error) {
+	e := &JobsEntry{Name: name, Process: &Process{Name: name}, settingsFile: filepath.Join(j.dir, name+".yaml")}
+	for _, a := range []*netip.AddrPort{&e.Callers, &e.readyAddr, &e.Peers} {
 		p, err := freePort()
 		if err != nil {
 			return nil, err
 		}
 		*a = p
 	}
-	store, err := j.Via(name, j.Fleet.StoreAddress())
+	store, err := j.ProxyAddress(name, j.Fleet.StoreAddress())
 	if err != nil {
 		return nil, err
 	}
-	machines, err := j.Via(name, j.Fleet.MachinesAddress())
+	machines, err := j.ProxyAddress(name, j.Fleet.MachinesAddress())
 	if err != nil {
 		return nil, err
 	}
 	text := fmt.Sprintf("name: %s\ndata-centre: dc-0\ncallers: %s\nready: %s\npeers: %s\nstore: %s\nmachines: %s\nlog-format: json\nstop-delay: 300ms\nstop-within: 4s\n",
-		name, e.Callers, e.ready, e.Peers, store, machines)
+		name, e.Callers, e.readyAddr, e.Peers, store, machines)
 	if j.KeysWithin > 0 {
 		text += fmt.Sprintf("keys-within: %s\n", j.KeysWithin)
 	}
 	if j.Profile {
 		text += "profile: true\n"
 	}
-	if err := os.WriteFile(e.file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(e.settingsFile, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
 // Entry returns an entry host, also while hosts are replaced.
-func (j *Jobs) Entry(i int) *JobsEntry {
+func (j *JobsDeployment) Entry(i int) *JobsEntry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.Entries[i]
@@ -173,7 +173,7 @@
 // Replace takes an entry host away for good and starts another, of another name and
 // with other addresses, in its place. One that hangs is stopped with its connections
 // open, as those of a machine without power.
-func (j *Jobs) Replace(e *JobsEntry, hangs bool) (*JobsEntry, error) {
+func (j *JobsDeployment) Replace(e *JobsEntry, hangs bool) (*JobsEntry, error) {
 	if hangs {
 		_ = e.Signal(syscall.SIGSTOP)
 	} else {
@@ -199,13 +199,13 @@
 }
 
 // Launch starts an entry host that is not running.
-func (j *Jobs) Launch(e *JobsEntry) error {
-	p, err := spawn(j.dir, filepath.Join(j.bin, "amberwayd"), e.Name, []string{"--settings", e.file})
+func (j *JobsDeployment) Launch(e *JobsEntry) error {
+	p, err := spawn(j.dir, filepath.Join(j.bin, "amberwayd"), e.Name, []string{"--settings", e.settingsFile})
 	e.Process = p
 	return err
 }
 
-func (j *Jobs) allReady() error {
+func (j *JobsDeployment) allReady() error {
 	for _, e := range j.Entries {
 		if !e.Ready() {
 			return fmt.Errorf("%s is not ready", e.Name)
@@ -215,7 +215,7 @@
 }
 
 // Stop ends everything.
-func (j *Jobs) Stop() {
+func (j *JobsDeployment) Stop() {
 	for _, e := range append(j.removed, j.Entries...) {
 		e.Kill()
 	}
@@ -223,7 +223,7 @@
 }
 
 // Owner returns the entry host that owns the jobs, or nil.
-func (j *Jobs) Owner() *JobsEntry {
+func (j *JobsDeployment) Owner() *JobsEntry {
 	b, ok := j.Fleet.Store.Value("jobs/owner")
 	var o struct {
 		Name string `json:"name"`
@@ -242,7 +242,7 @@
 }
 
 // Logs returns the lines of all entry hosts' logs that hold the text.
-func (j *Jobs) Logs(text string) []string {
+func (j *JobsDeployment) Logs(text string) []string {
 	var l []string
 	for _, e := range j.Entries {
 		b, err := os.ReadFile(filepath.Join(j.dir, e.Name+".log"))
--- a/internal/local/kept.go
+++ b/internal/local/kept.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// Kept is a connection to an entry host that its caller keeps open. Unlike a client's, it is
+// KeepAliveConn is a connection to an entry host that its caller keeps open. Unlike a client's, it is
 // used whatever the host has done with it meanwhile, as by a caller whose request and the
 // host's close cross each other.
-type Kept struct {
+type KeepAliveConn struct {
 	net.Conn
-	answers *bufio.Reader
+	reader *bufio.Reader
 }
 
 // Answer is one that was read to its end.
 type Answer struct {
 	Status int
 	Body   string
-	// Last says that the host closes the connection.
-	Last bool
+	// Closes says that the host closes the connection.
+	Closes bool
 }
 
-// Keep opens a connection that is used until a time.
-func Keep(at netip.AddrPort, until time.Time) (*Kept, error) {
+// DialKeepAlive opens a connection that is used until a time.
+func DialKeepAlive(at netip.AddrPort, until time.Time) (*KeepAliveConn, error) {
 	c, err := net.Dial("tcp", at.String())
 	if err != nil {
 		return nil, err
 	}
-	return &Kept{Conn: c, answers: bufio.NewReader(c)}, c.SetDeadline(until)
+	return &KeepAliveConn{Conn: c, reader: bufio.NewReader(c)}, c.SetDeadline(until)
 }
 
-// Ask sends a request, given as it goes over the connection, and reads the answer.
-func (k *Kept) Ask(request string) (Answer, error) {
+// RoundTrip sends a request, given as it goes over the connection, and reads the answer.
+func (k *KeepAliveConn) RoundTrip(request string) (Answer, error) {
 	if _, err := fmt.Fprint(k, request); err != nil {
 		return Answer{}, err
 	}
-	res, err := http.ReadResponse(k.answers, nil)
+	res, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
 		return Answer{}, err
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return Answer{Status: res.StatusCode, Body: string(b), Last: res.Close}, err
+	return Answer{Status: res.StatusCode, Body: string(b), Closes: res.Close}, err
 }
--- a/internal/local/process.go
+++ b/internal/local/process.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func call(method, u string, body, v any) error {
+func callJSON(method, u string, body, v any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -159,15 +159,15 @@
 
 var nextPort atomic.Int64
 
-// host is where all processes that this one starts listen.
-var host = loopback.Unshared()
+// listenAddr is where all processes that this one starts listen.
+var listenAddr = loopback.RandomAddr()
 
 // freePort returns a loopback address that nothing listened on a moment ago
 // and that this process has not returned before.
 func freePort() (netip.AddrPort, error) {
 	for range portRange {
 		n := firstPort + nextPort.Add(1)%portRange
-		a := netip.AddrPortFrom(host, uint16(n))
+		a := netip.AddrPortFrom(listenAddr, uint16(n))
 		l, err := net.Listen("tcp", a.String())
 		if err != nil {
 			continue
--- a/internal/local/usage.go
+++ b/internal/local/usage.go
@@ -12,11 +12,11 @@
 type Usage struct {
 	// CPU is processor time.
 	CPU time.Duration
-	// Resident is resident memory in bytes.
-	Resident int64
-	// Moved is bytes read and written, which for a daemon without files are
+	// ResidentBytes is resident memory in bytes.
+	ResidentBytes int64
+	// IOBytes is bytes read and written, which for a daemon without files are
 	// those of its connections.
-	Moved int64
+	IOBytes int64
 }
 
 // clockTicks is the kernel's unit of processor time in /proc.
@@ -33,13 +33,13 @@
 	user, _ := strconv.ParseInt(f[11], 10, 64)
 	system, _ := strconv.ParseInt(f[12], 10, 64)
 	u := Usage{CPU: time.Duration(user+system) * time.Second / clockTicks}
-	u.Resident = 1024 * field(dir+"status", "VmRSS:")
-	u.Moved = field(dir+"io", "rchar:") + field(dir+"io", "wchar:")
+	u.ResidentBytes = 1024 * procField(dir+"status", "VmRSS:")
+	u.IOBytes = procField(dir+"io", "rchar:") + procField(dir+"io", "wchar:")
 	return u, nil
 }
 
-// field returns the number behind a name in a file of /proc.
-func field(file, name string) int64 {
+// procField returns the number behind a name in a file of /proc.
+func procField(file, name string) int64 {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return 0
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -10,34 +10,34 @@
 
 // Figures of the callers.
 const (
-	// callEvery is the time between two jobs.
-	callEvery = 120 * time.Millisecond
-	// tries is how often a caller hands a job in, and retryAfter the pause. One of
+	// callInterval is the time between two jobs.
+	callInterval = 120 * time.Millisecond
+	// maxSubmitTries is how often a caller hands a job in, and retryAfter the pause. One of
 	// giveUp callers tries once only, so that refusals stand.
-	tries      = 8
-	giveUp     = 3
-	retryAfter = 400 * time.Millisecond
+	maxSubmitTries = 8
+	singleTryEvery = 3
+	retryDelay     = 400 * time.Millisecond
 	// One of longEvery jobs has tasks that outlast a fault or a look.
-	longEvery = 5
-	// settle is how long jobs may take once all faults are over: a silent
+	longJobEvery = 5
+	// settleTime is how long jobs may take once all faults are over: a silent
 	// worker's lease and what an owner waits for after a change, twice.
-	settle = 40 * time.Second
-	// firstStep and secondStep are the tasks of each job.
-	firstStep, secondStep = 3, 2
+	settleTime = 40 * time.Second
+	// firstStepTasks and secondStep are the tasks of each job.
+	firstStepTasks, secondStepTasks = 3, 2
 )
 
 // queues are the queues, each with a pool of its name.
 var queues = []string{"blue", "green"}
 
-// work returns job n. Its estimates are those of a short one.
-func work(n int) fleet.Job {
+// newJob returns job n. Its estimates are those of a short one.
+func newJob(n int) fleet.Job {
 	spec := "300ms"
-	if n%longEvery == 0 {
+	if n%longJobEvery == 0 {
 		spec = "2500ms"
 	}
 	return fleet.Job{Spec: spec, Steps: []fleet.Step{
-		{Count: firstStep, CPU: 1000, MemMB: 100, Estimate: 300},
-		{Count: secondStep, CPU: 1500, MemMB: 100, Estimate: 300, After: []int{0}},
+		{Count: firstStepTasks, CPU: 1000, MemMB: 100, EstimateMs: 300},
+		{Count: secondStepTasks, CPU: 1500, MemMB: 100, EstimateMs: 300, After: []int{0}},
 	}}
 }
 
@@ -47,28 +47,28 @@
 // Where the load has turns, the queues take turnCalls jobs by turns; one of offTurn goes to
 // another queue meanwhile.
 const (
-	turnCalls = 40
-	offTurn   = 10
+	jobsPerTurn  = 40
+	offTurnEvery = 10
 )
 
 // queueOf returns the queue of job n.
 func (r *Run) queueOf(n int) string {
-	if !r.Lasting {
+	if !r.DisruptionBudgets {
 		return queues[n%len(queues)]
 	}
-	turn := n / turnCalls
-	if n%offTurn == 0 {
+	turn := n / jobsPerTurn
+	if n%offTurnEvery == 0 {
 		turn++
 	}
 	return queues[turn%len(queues)]
 }
 
-// call hands job n in, at another entry host after each answer that is no
+// runJob hands job n in, at another entry host after each answer that is no
 // success, and follows it to its end.
-func (r *Run) call(n int) {
+func (r *Run) runJob(n int) {
 	id := fmt.Sprintf("%016x", n+1)
 	queue := r.queueOf(n)
-	if !r.handIn(n, queue, id, work(n)) {
+	if !r.submit(n, queue, id, newJob(n)) {
 		return
 	}
 	r.count("accepted")
@@ -80,22 +80,22 @@
 			r.count("succeeded")
 			return
 		case err == nil && code == http.StatusGone:
-			r.brokef("%s was accepted and is not known", id)
+			r.violationf("%s was accepted and is not known", id)
 			return
 		case r.settled():
-			r.brokef("%s was accepted and is not done: %d %s %v", id, code, body, err)
+			r.violationf("%s was accepted and is not done: %d %s %v", id, code, body, err)
 			return
 		}
-		time.Sleep(retryAfter / 2)
+		time.Sleep(retryDelay / 2)
 	}
 }
 
-// handIn reports whether the job was accepted. If all answers refused it, it
+// submit reports whether the job was accepted. If all answers refused it, it
 // may never run.
-func (r *Run) handIn(n int, queue, id string, j fleet.Job) bool {
+func (r *Run) submit(n int, queue, id string, j fleet.Job) bool {
 	refused := true
-	most := tries
-	if n%giveUp == 0 {
+	most := maxSubmitTries
+	if n%singleTryEvery == 0 {
 		most = 1
 	}
 	for i := range most {
@@ -106,7 +106,7 @@
 		if err != nil || code != http.StatusServiceUnavailable {
 			refused = false
 		}
-		time.Sleep(retryAfter)
+		time.Sleep(retryDelay)
 	}
 	if !refused {
 		r.count("not known")
@@ -115,17 +115,17 @@
 	r.count("refused")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refused = append(r.refused, id)
+	r.refusedJobs = append(r.refusedJobs, id)
 	return false
 }
 
 // checkDone checks that all tasks of a job that is shown as succeeded are done.
 func (r *Run) checkDone(id string) {
-	for step, count := range []int{firstStep, secondStep} {
+	for step, count := range []int{firstStepTasks, secondStepTasks} {
 		for x := range count {
 			t := fmt.Sprintf("%s.0.%d.%d", id, step, x)
-			if !r.jobs.Fleet.Books.Done(t) {
-				r.brokef("%s is shown as succeeded and %s is not done", id, t)
+			if !r.deployment.Fleet.Checker.Done(t) {
+				r.violationf("%s is shown as succeeded and %s is not done", id, t)
 			}
 		}
 	}
--- a/internal/soak/calm.go
+++ b/internal/soak/calm.go
@@ -12,19 +12,19 @@
 	scopeAll = "all"
 )
 
-// faults are those of one scope: how many go on, and when the last one ended.
-type faults struct {
+// faultState are those of one scope: how many go on, and when the last one ended.
+type faultState struct {
 	active  int
 	endedAt time.Time
 }
 
-// begin notes that a fault begins, and the function that it returns that it ends.
-func (r *Run) begin(scope string) func() {
+// beginFault notes that a fault begins, and the function that it returns that it ends.
+func (r *Run) beginFault(scope string) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.faults[scope]
 	if f == nil {
-		f = &faults{}
+		f = &faultState{}
 		r.faults[scope] = f
 	}
 	f.active++
@@ -36,9 +36,9 @@
 	}
 }
 
-// disturbedAt returns when there was last a fault of a scope that counts: now if
+// lastFaultAt returns when there was last a fault of a scope that counts: now if
 // there is one.
-func (r *Run) disturbedAt(counts func(scope string) bool) time.Time {
+func (r *Run) lastFaultAt(counts func(scope string) bool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var last time.Time
@@ -56,21 +56,21 @@
 
 func anyScope(string) bool { return true }
 
-// newLife notes that another process is an entry host, or is about to be.
-func (r *Run) newLife(name string) {
+// newIncarnation notes that another process is an entry host, or is about to be.
+func (r *Run) newIncarnation(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives[name]++
+	r.incarnations[name]++
 }
 
-// process is one life of an entry host.
-type process struct {
-	name string
-	life int
+// incarnation is one life of an entry host.
+type incarnation struct {
+	name   string
+	number int
 }
 
-func (r *Run) process(name string) process {
+func (r *Run) incarnationOf(name string) incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return process{name: name, life: r.lives[name]}
+	return incarnation{name: name, number: r.incarnations[name]}
 }
--- a/internal/soak/cmd/main.go
+++ b/internal/soak/cmd/main.go
@@ -17,16 +17,16 @@
 )
 
 type options struct {
-	Seed      uint64        `arg:"--seed" help:"first seed; the time if zero"`
-	Runs      int           `arg:"--runs" default:"1" help:"how many seeds, one after the other"`
-	For       time.Duration `arg:"--for" default:"20s" help:"how long faults are injected in each run"`
-	Entries   int           `arg:"--entries" default:"4"`
-	Workers   int           `arg:"--workers" default:"5" help:"machines in each of two pools"`
-	Crashing  bool          `arg:"--crashing" help:"hand in jobs that crash their workers"`
-	Lasting   bool          `arg:"--lasting" help:"hand in lasting jobs of which only some tasks may be away, with waves and a load by turns"`
-	LateHosts bool          `arg:"--late-hosts" help:"carry out some orders to machines late, after newer ones"`
-	Logs      string        `arg:"--logs" help:"folder for the logs of broken runs; a temporary one if empty"`
-	Quiet     bool          `arg:"--quiet" help:"no line for each fault"`
+	Seed               uint64        `arg:"--seed" help:"first seed; the time if zero"`
+	Runs               int           `arg:"--runs" default:"1" help:"how many seeds, one after the other"`
+	Duration           time.Duration `arg:"--for" default:"20s" help:"how long faults are injected in each run"`
+	Entries            int           `arg:"--entries" default:"4"`
+	Workers            int           `arg:"--workers" default:"5" help:"machines in each of two pools"`
+	CrashingJobs       bool          `arg:"--crashing" help:"hand in jobs that crash their workers"`
+	DisruptionBudgets  bool          `arg:"--lasting" help:"hand in lasting jobs of which only some tasks may be away, with waves and a load by turns"`
+	DelayMachineOrders bool          `arg:"--late-hosts" help:"carry out some orders to machines late, after newer ones"`
+	LogDir             string        `arg:"--logs" help:"folder for the logs of broken runs; a temporary one if empty"`
+	Quiet              bool          `arg:"--quiet" help:"no line for each fault"`
 }
 
 func main() {
@@ -46,7 +46,7 @@
 	if o.Seed == 0 {
 		o.Seed = uint64(time.Now().Unix())
 	}
-	dir := o.Logs
+	dir := o.LogDir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "amberway-soak"); err != nil {
@@ -59,20 +59,20 @@
 	}
 	broken := false
 	for s := o.Seed; s < o.Seed+uint64(o.Runs); s++ {
-		b, err := one(o, s, bin, filepath.Join(dir, fmt.Sprint("seed-", s)))
+		b, err := runSeed(o, s, bin, filepath.Join(dir, fmt.Sprint("seed-", s)))
 		if err != nil {
 			return broken, err
 		}
 		broken = broken || b
 	}
-	if o.Logs == "" && !broken {
+	if o.LogDir == "" && !broken {
 		return false, os.RemoveAll(dir)
 	}
 	return broken, nil
 }
 
-// one runs one seed and reports whether a promise broke.
-func one(o options, seed uint64, bin, dir string) (bool, error) {
+// runSeed runs one seed and reports whether a promise broke.
+func runSeed(o options, seed uint64, bin, dir string) (bool, error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return false, err
 	}
@@ -80,17 +80,17 @@
 	if o.Quiet {
 		out = io.Discard
 	}
-	r, err := soak.Do(soak.Options{Seed: seed, For: o.For, Entries: o.Entries, Workers: o.Workers, Crashing: o.Crashing, Lasting: o.Lasting, LateHosts: o.LateHosts, Bin: bin, Dir: dir, Out: out})
+	r, err := soak.Do(soak.Options{Seed: seed, Duration: o.Duration, Entries: o.Entries, Workers: o.Workers, CrashingJobs: o.CrashingJobs, DisruptionBudgets: o.DisruptionBudgets, DelayMachineOrders: o.DelayMachineOrders, BinDir: bin, LogDir: dir, Out: out})
 	if err != nil {
 		return false, err
 	}
 	fmt.Printf("seed %-12d accepted %4d  succeeded %4d  refused %3d  not known %3d  cancelled %2d  crashing %2d  late starts %3d, of cancelled %2d  removed %d  replaced %d  ended at work %3d  late host orders %3d  runs %5d  broken %d\n",
 		seed, r.Counts["accepted"], r.Counts["succeeded"], r.Counts["refused"], r.Counts["not known"],
-		r.Counts["cancelled"], r.Counts["crashing"], r.Counts["late"], r.Counts["late and cancelled"], r.Counts["removed"], r.Counts["replaced"], r.Counts["ended at work"], r.Counts["late host orders"], r.Starts, len(r.Broken))
-	for _, b := range r.Broken {
+		r.Counts["cancelled"], r.Counts["crashing"], r.Counts["late"], r.Counts["late and cancelled"], r.Counts["removed"], r.Counts["replaced"], r.Counts["ended at work"], r.Counts["late host orders"], r.Starts, len(r.Violations))
+	for _, b := range r.Violations {
 		fmt.Println("  broken:", b)
 	}
-	if len(r.Broken) == 0 {
+	if len(r.Violations) == 0 {
 		return false, os.RemoveAll(dir)
 	}
 	fmt.Println("  logs:", dir)
--- a/internal/soak/configs.go
+++ b/internal/soak/configs.go
@@ -11,105 +11,105 @@
 
 // Figures of the configurations.
 const (
-	// configuredWithin is when an accepted configuration has to be in force at
+	// configTimeout is when an accepted configuration has to be in force at
 	// each entry host in touch: the daemons wait two seconds in a watch.
-	configuredWithin = 2 * time.Second
-	// contactFor is how long an entry host must have been without faults, and the
+	configTimeout = 2 * time.Second
+	// reconnectTime is how long an entry host must have been without faults, and the
 	// store as well, to be in touch.
-	contactFor = 3 * time.Second
-	// askEvery is the pause between two questions to one entry host.
-	askEvery = 100 * time.Millisecond
+	reconnectTime = 3 * time.Second
+	// configPollInterval is the pause between two questions to one entry host.
+	configPollInterval = 100 * time.Millisecond
 )
 
-// version is a configuration with a queue that no other one has.
-type version struct {
+// configuration is a configuration with a queue that no other one has.
+type configuration struct {
 	// acceptedAt is zero until the store has it.
 	acceptedAt time.Time
 }
 
-func queueOf(version int) string {
+func extraQueue(version int) string {
 	return fmt.Sprintf("extra-%03d", version)
 }
 
 // configure writes the next configuration. It drops the queue that the last one
 // added, and adds one.
 func (r *Run) configure() {
-	r.configuring.Lock()
-	defer r.configuring.Unlock()
+	r.configMu.Lock()
+	defer r.configMu.Unlock()
 	r.mu.Lock()
-	n := len(r.versions)
-	r.versions = append(r.versions, version{})
+	n := len(r.configs)
+	r.configs = append(r.configs, configuration{})
 	r.mu.Unlock()
-	r.fail(r.jobs.Configure(queueOf(n)))
+	r.recordError(r.deployment.Configure(extraQueue(n)))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.versions[n].acceptedAt = time.Now()
+	r.configs[n].acceptedAt = time.Now()
 }
 
-// standing is what was accepted and begun at a time.
-type standing struct {
+// configState is what was accepted and begun at a time.
+type configState struct {
 	at time.Time
 	// due is the newest configuration that has to be in force by now, newest the
 	// last that was accepted; -1 is none. All counts those that were begun.
-	due, newest, all int
+	due, newest, begun int
 }
 
-func (r *Run) standing() standing {
+func (r *Run) configState() configState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := standing{at: time.Now(), due: -1, newest: -1, all: len(r.versions)}
-	for i, v := range r.versions {
+	s := configState{at: time.Now(), due: -1, newest: -1, begun: len(r.configs)}
+	for i, v := range r.configs {
 		if v.acceptedAt.IsZero() {
 			break
 		}
 		s.newest = i
-		if s.at.Sub(v.acceptedAt) > configuredWithin {
+		if s.at.Sub(v.acceptedAt) > configTimeout {
 			s.due = i
 		}
 	}
 	return s
 }
 
-// follower asks one entry host which configuration is in force there, by the
+// configChecker asks one entry host which configuration is in force there, by the
 // queues that only one has.
-type follower struct {
-	run   *Run
-	index int
-	life  process
+type configChecker struct {
+	run         *Run
+	index       int
+	incarnation incarnation
 	// highest is the newest that was seen in this life, missed how often in a row
 	// none was found that may be in force; told is the last that was told of.
-	highest, missed, told int
+	highest, misses, reported int
 }
 
-// missedMost is how often none may be found in a row: one that changes between
+// maxMisses is how often none may be found in a row: one that changes between
 // two questions hides from both.
-const missedMost = 3
+const maxMisses = 3
 
 // watch asks until what lasts was watched for long enough.
-func (f *follower) watch() {
-	for !f.run.watched() {
-		time.Sleep(askEvery)
+func (f *configChecker) watch() {
+	for !f.run.watchIsOver() {
+		time.Sleep(configPollInterval)
 		x := f.run.entry(f.index)
-		if p := f.run.process(x.Name); p != f.life {
-			f.life, f.highest, f.missed = p, -1, 0
+		if p := f.run.incarnationOf(x.Name); p != f.incarnation {
+			f.incarnation, f.highest, f.misses = p, -1, 0
 		}
-		s := f.run.standing()
-		if s.newest+1 < s.all {
+		s := f.run.configState()
+		if s.newest+1 < s.begun {
 			// One that is being written may be in force already.
 			continue
 		}
-		in, ok := f.ask(x, s)
-		if ok && f.run.process(x.Name) == f.life {
+		in, ok := f.poll(x, s)
+		if ok && f.run.incarnationOf(x.Name) == f.incarnation {
 			f.check(x, s, in)
 		}
 	}
 }
 
-// ask returns the newest configuration that is in force, down to the one before
+// poll returns the newest configuration that is in force, down to the one before
 // that which is due; -1 is none of them.
-func (f *follower) ask(x *local.JobsEntry, s standing) (int, bool) {
+func (f *configChecker) poll(x *local.JobsEntry, s configState) (int, bool) {
 	for i := s.newest; i >= max(0, s.due-1); i-- {
-		code, body, err := x.Call(http.MethodGet, queueOf(i), "", nil)
+		code, body, err := x.Call(http.MethodGet, extraQueue(i), "", nil)
 		switch {
 		case err != nil, strings.Contains(body, "no configuration yet"):
 			return 0, false
@@ -122,28 +122,28 @@
 
 // check checks what was found: nothing older than what was seen, and nothing older
 // than what is due at an entry host in touch.
-func (f *follower) check(x *local.JobsEntry, s standing, in int) {
-	if in >= 0 && in < f.highest || in < f.highest && f.highest == s.newest && f.run.standing().all == s.all {
-		f.run.brokef("%s went back from configuration %d to %d", x.Name, f.highest, in)
+func (f *configChecker) check(x *local.JobsEntry, s configState, in int) {
+	if in >= 0 && in < f.highest || in < f.highest && f.highest == s.newest && f.run.configState().begun == s.begun {
+		f.run.violationf("%s went back from configuration %d to %d", x.Name, f.highest, in)
 		f.highest = in
 	}
 	f.highest = max(f.highest, in)
-	f.missed++
-	if in >= s.due || f.run.standing().all != s.all {
-		f.missed = 0
+	f.misses++
+	if in >= s.due || f.run.configState().begun != s.begun {
+		f.misses = 0
 		return
 	}
 	touches := func(scope string) bool { return scope == x.Name || scope == scopeStore || scope == scopeAll }
-	if f.missed < missedMost && in < 0 || f.told == s.due || s.at.Sub(f.run.disturbedAt(touches)) < contactFor {
+	if f.misses < maxMisses && in < 0 || f.reported == s.due || s.at.Sub(f.run.lastFaultAt(touches)) < reconnectTime {
 		return
 	}
-	f.told = s.due
-	f.run.brokef("%s has configuration %d in force, and %d was accepted %.1f s ago", x.Name, in, s.due,
-		s.at.Sub(f.run.versionOf(s.due).acceptedAt).Seconds())
+	f.reported = s.due
+	f.run.violationf("%s has configuration %d in force, and %d was accepted %.1f s ago", x.Name, in, s.due,
+		s.at.Sub(f.run.configAt(s.due).acceptedAt).Seconds())
 }
 
-func (r *Run) versionOf(i int) version {
+func (r *Run) configAt(i int) configuration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.versions[i]
+	return r.configs[i]
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,70 +12,70 @@
 	"amberway/internal/standin/fleet"
 )
 
-// restartWithin is how long a stopped entry host may take to end.
-const restartWithin = 8 * time.Second
+// entryStopTimeout is how long a stopped entry host may take to end.
+const entryStopTimeout = 8 * time.Second
 
-// hit carries out one event, and returns when it is over.
-func (r *Run) hit(e Event) {
+// inject carries out one event, and returns when it is over.
+func (r *Run) inject(e Event) {
 	x := r.entry(e.Entry)
-	if o := r.jobs.Owner(); e.Owner && o != nil {
+	if o := r.deployment.Owner(); e.Owner && o != nil {
 		x = o
 	}
 	if s := e.scope(x.Name); s != "" {
-		defer r.begin(s)()
+		defer r.beginFault(s)()
 	}
 	switch e.Kind {
 	case Kill:
-		r.restart(x, syscall.SIGKILL, e.For)
+		r.restartEntry(x, syscall.SIGKILL, e.Duration)
 	case Stop:
-		r.restart(x, syscall.SIGTERM, e.For)
+		r.restartEntry(x, syscall.SIGTERM, e.Duration)
 	case KillAll:
 		var wg sync.WaitGroup
 		for i := range r.Entries {
-			wg.Go(func() { r.restart(r.entry(i), syscall.SIGKILL, e.For/4) })
+			wg.Go(func() { r.restartEntry(r.entry(i), syscall.SIGKILL, e.Duration/4) })
 		}
 		wg.Wait()
 	case Freeze:
-		r.freeze(x, e.For)
+		r.freezeEntry(x, e.Duration)
 	case Hup:
-		r.hangUp(x)
+		r.sendHangUp(x)
 	case LinkFault:
-		r.troubleLinks(x.Name, e.Trouble, e.For)
-	case Narrow:
-		r.narrowLinks(x.Name, e)
-	case Refuse:
-		r.troubleStore(fleet.Fault{Refuse: true}, e.For)
-	case Lose:
-		r.troubleStore(fleet.Fault{Lose: true}, e.For)
-	case Delay:
-		r.troubleStore(fleet.Fault{Delay: slowBy}, e.For)
-	case Mute:
-		r.troubleStore(fleet.Fault{Mute: true}, e.For)
-	case Forget:
-		r.jobs.Fleet.Store.Forget()
-	case Crash:
-		r.jobs.Fleet.Crash(e.For)
-		time.Sleep(e.For)
-	case Again:
-		if r.jobs.Fleet.StartAgain(e.Start) != "" {
+		r.impairLinks(x.Name, e.LinkState, e.Duration)
+	case BandwidthLimit:
+		r.limitBandwidth(x.Name, e)
+	case StoreRefusal:
+		r.impairStore(fleet.StoreFault{Refuse: true}, e.Duration)
+	case StoreAnswerLoss:
+		r.impairStore(fleet.StoreFault{LoseAnswers: true}, e.Duration)
+	case StoreDelay:
+		r.impairStore(fleet.StoreFault{Delay: slowDelay}, e.Duration)
+	case StoreWatchHang:
+		r.impairStore(fleet.StoreFault{HangWatches: true}, e.Duration)
+	case StoreCompaction:
+		r.deployment.Fleet.Store.Compact()
+	case WorkerCrash:
+		r.deployment.Fleet.Crash(e.Duration)
+		time.Sleep(e.Duration)
+	case WorkerRestart:
+		if r.deployment.Fleet.Restart(e.Restart) != "" {
 			r.count("started again")
 		}
-		time.Sleep(time.Duration(e.Start.Times)*e.Start.DownFor + e.Start.RecordAfter)
-	case Silence:
-		r.jobs.Fleet.Silence(e.For)
-		time.Sleep(e.For)
+		time.Sleep(time.Duration(e.Restart.Times)*e.Restart.DownFor + e.Restart.RecordAfter)
+	case WorkerSilence:
+		r.deployment.Fleet.Silence(e.Duration)
+		time.Sleep(e.Duration)
 	case Configure:
 		r.configure()
 	case Wave:
-		r.wave()
-	case Stale:
-		r.silence(x.Name, e)
-	case Postpone:
-		r.postpone(e)
-	case Replace:
-		r.replace(x, e.Hangs)
-	case Remove:
-		r.remove(fleet.Removal{Drain: e.For, Hangs: e.Hangs})
+		r.requestWave()
+	case ConnSilence:
+		r.silenceConns(x.Name, e)
+	case RunOrderDelay:
+		r.delayRunOrders(e)
+	case EntryReplacement:
+		r.replaceEntry(x, e.Hangs)
+	case MachineRemoval:
+		r.removeMachine(fleet.Removal{Drain: e.Duration, Hangs: e.Hangs})
 	}
 }
 
@@ -88,15 +88,15 @@
 		return ""
 	case KillAll:
 		return scopeAll
-	case Refuse, Lose, Delay, Mute:
+	case StoreRefusal, StoreAnswerLoss, StoreDelay, StoreWatchHang:
 		return scopeStore
-	case Forget:
+	case StoreCompaction:
 		return scopeHistory
-	case Crash, Silence, Postpone, Again:
+	case WorkerCrash, WorkerSilence, RunOrderDelay, WorkerRestart:
 		return scopeWorkers
-	case Remove:
+	case MachineRemoval:
 		return scopeRemoval
-	case Stale, Narrow:
+	case ConnSilence, BandwidthLimit:
 		if e.All {
 			return scopeAll
 		}
@@ -105,85 +105,85 @@
 	return entry
 }
 
-// silence has open connections fall silent, of one entry host or of all.
-func (r *Run) silence(entry string, e Event) {
-	if e.Way == wayWorkers {
-		r.jobs.Fleet.SilenceConnections(e.OneWay)
+// silenceConns has open connections fall silent, of one entry host or of all.
+func (r *Run) silenceConns(entry string, e Event) {
+	if e.Upstream == upstreamWorkers {
+		r.deployment.Fleet.SilenceConnections(e.OneWay)
 		return
 	}
 	for _, l := range r.linksOf(entry, e.All) {
-		l[e.Way].Silence(e.OneWay)
+		l[e.Upstream].Silence(e.OneWay)
 	}
 }
 
-// postpone has workers carry orders out late: most within the lease that they
+// delayRunOrders has workers carry orders out late: most within the lease that they
 // name, some after it.
-func (r *Run) postpone(e Event) {
+func (r *Run) delayRunOrders(e Event) {
 	d := rand.New(rand.NewPCG(r.Seed, uint64(e.At)))
-	r.jobs.Fleet.Postpone(e.Entry, e.For, func() time.Duration {
+	r.deployment.Fleet.DelayRunOrders(e.Entry, e.Duration, func() time.Duration {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return between(d, 2*time.Second, time.Duration(4+8*d.IntN(2))*time.Second)
+		return randomDuration(d, 2*time.Second, time.Duration(4+8*d.IntN(2))*time.Second)
 	})
-	time.Sleep(e.For)
+	time.Sleep(e.Duration)
 }
 
-// replace takes an entry host away for good and starts another in its place. One
+// replaceEntry takes an entry host away for good and starts another in its place. One
 // that hangs keeps its connections open, as a machine without power does.
-func (r *Run) replace(x *local.JobsEntry, hangs bool) {
-	if !r.take(x.Name) {
+func (r *Run) replaceEntry(x *local.JobsEntry, hangs bool) {
+	if !r.reserve(x.Name) {
 		return
 	}
-	r.newLife(x.Name)
-	y, err := r.jobs.Replace(x, hangs)
-	r.fail(err)
+	r.newIncarnation(x.Name)
+	y, err := r.deployment.Replace(x, hangs)
+	r.recordError(err)
 	if err != nil {
 		return
 	}
 	r.count("replaced")
-	r.begin(y.Name)()
+	r.beginFault(y.Name)()
 }
 
-// addAfter is how long after a machine was removed another comes in its place.
-const addAfter = 2 * time.Second
+// machineReplacementDelay is how long after a machine was removed another comes in its place.
+const machineReplacementDelay = 2 * time.Second
 
-// remove takes the machine with the most lasting tasks away for good.
-func (r *Run) remove(how fleet.Removal) {
-	id, pool := r.jobs.Fleet.MostLasting()
-	if r.jobs.Fleet.Remove(id, how) != nil {
+// removeMachine takes the machine with the most lasting tasks away for good.
+func (r *Run) removeMachine(how fleet.Removal) {
+	id, pool := r.deployment.Fleet.MostLasting()
+	if r.deployment.Fleet.Remove(id, how) != nil {
 		return
 	}
 	r.count("removed")
-	time.AfterFunc(addAfter, func() { r.fail(r.jobs.AddMachine(pool)) })
+	time.AfterFunc(machineReplacementDelay, func() { r.recordError(r.deployment.AddMachine(pool)) })
 }
 
-// restart ends an entry host by the signal and starts it again. One that is being
+// restartEntry ends an entry host by the signal and starts it again. One that is being
 // restarted is left alone.
-func (r *Run) restart(x *local.JobsEntry, s syscall.Signal, after time.Duration) {
-	if !r.take(x.Name) {
+func (r *Run) restartEntry(x *local.JobsEntry, s syscall.Signal, after time.Duration) {
+	if !r.reserve(x.Name) {
 		return
 	}
 	defer r.release(x.Name)
-	r.newLife(x.Name)
-	defer r.newLife(x.Name)
+	r.newIncarnation(x.Name)
+	defer r.newIncarnation(x.Name)
 	if s == syscall.SIGTERM {
-		r.stop(x)
+		r.stopEntry(x)
 	}
 	x.Kill()
 	time.Sleep(after)
-	r.fail(r.jobs.Launch(x))
+	r.recordError(r.deployment.Launch(x))
 }
 
-// hangUp tells an entry host that its settings have changed.
-func (r *Run) hangUp(x *local.JobsEntry) {
-	if r.take(x.Name) {
+// sendHangUp tells an entry host that its settings have changed.
+func (r *Run) sendHangUp(x *local.JobsEntry) {
+	if r.reserve(x.Name) {
 		_ = x.Signal(syscall.SIGHUP)
 		r.release(x.Name)
 	}
 }
 
-func (r *Run) freeze(x *local.JobsEntry, d time.Duration) {
-	if !r.take(x.Name) {
+func (r *Run) freezeEntry(x *local.JobsEntry, d time.Duration) {
+	if !r.reserve(x.Name) {
 		return
 	}
 	defer r.release(x.Name)
@@ -192,51 +192,51 @@
 	_ = x.Signal(syscall.SIGCONT)
 }
 
-func (r *Run) troubleLinks(name string, t Trouble, d time.Duration) {
-	set := func(t Trouble) {
+func (r *Run) impairLinks(name string, t LinkState, d time.Duration) {
+	set := func(t LinkState) {
 		for _, l := range r.linksOf(name, false) {
 			for _, k := range l {
-				k.Set(t)
+				k.SetState(t)
 			}
 		}
 	}
 	set(t)
 	time.Sleep(d)
-	set(Sound)
+	set(Healthy)
 }
 
-// narrowLinks has an entry host's links, or those of all, carry little: together what one
+// limitBandwidth has an entry host's links, or those of all, carry little: together what one
 // link of a host does.
-func (r *Run) narrowLinks(name string, e Event) {
-	bytes := e.Megabits * 1e6 / 8
+func (r *Run) limitBandwidth(name string, e Event) {
+	bytes := e.Mbps * 1e6 / 8
 	for _, l := range r.linksOf(name, e.All) {
 		shared := rate.NewLimiter(rate.Limit(bytes), 32<<10)
 		for _, k := range l {
-			k.Narrow(shared)
+			k.SetLimiter(shared)
 		}
 	}
-	time.Sleep(min(e.For, time.Until(r.endsAt)-settle))
+	time.Sleep(min(e.Duration, time.Until(r.settledAt)-settleTime))
 	for _, l := range r.linksOf(name, e.All) {
 		for _, k := range l {
-			k.Narrow(nil)
+			k.SetLimiter(nil)
 		}
 	}
 }
 
-func (r *Run) troubleStore(f fleet.Fault, d time.Duration) {
-	r.jobs.Fleet.Store.SetFault(f)
+func (r *Run) impairStore(f fleet.StoreFault, d time.Duration) {
+	r.deployment.Fleet.Store.SetFault(f)
 	time.Sleep(d)
-	r.jobs.Fleet.Store.SetFault(fleet.Fault{})
+	r.deployment.Fleet.Store.SetFault(fleet.StoreFault{})
 }
 
-// waveCap is how many machines of a wave may be down at once.
-const waveCap = 2
+// waveMaxDown is how many machines of a wave may be down at once.
+const waveMaxDown = 2
 
-func (r *Run) wave() {
+func (r *Run) requestWave() {
 	r.mu.Lock()
-	r.waves++
-	n := r.waves
+	r.waveCount++
+	n := r.waveCount
 	r.mu.Unlock()
-	l := r.jobs.Fleet.Names("")
-	r.fail(r.jobs.Fleet.AskWave(n, l[:len(l)/2], 20*time.Second, waveCap))
+	l := r.deployment.Fleet.Names("")
+	r.recordError(r.deployment.Fleet.RequestWave(n, l[:len(l)/2], 20*time.Second, waveMaxDown))
 }
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -12,28 +12,28 @@
 	// keysWithin is how long a key that was taken away may go on working, at any entry
 	// host, whatever has cut it off: the daemons are told so.
 	keysWithin = 5 * time.Second
-	// keyCallEvery is the pause between two calls with keys that are not in force.
-	keyCallEvery = 200 * time.Millisecond
+	// keyCallInterval is the pause between two calls with keys that are not in force.
+	keyCallInterval = 200 * time.Millisecond
 )
 
-// callWithoutKeys calls an entry host with a key that no team has ever had, and with one that was
+// checkInvalidKeys calls an entry host with a key that no team has ever had, and with one that was
 // taken away, until what lasts was watched for long enough. Neither may be let in.
-func (r *Run) callWithoutKeys(index int) {
-	for !r.watched() {
-		time.Sleep(keyCallEvery)
+func (r *Run) checkInvalidKeys(index int) {
+	for !r.watchIsOver() {
+		time.Sleep(keyCallInterval)
 		x := r.entry(index)
-		if r.accepted(x, "of-nobody") {
-			r.brokef("%s let in a caller with a key that no team has had", x.Name)
+		if r.acceptsKey(x, "of-nobody") {
+			r.violationf("%s let in a caller with a key that no team has had", x.Name)
 		}
-		if n := r.takenAway(); n >= 0 && r.accepted(x, local.KeyWith(queueOf(n))) {
-			r.brokef("%s let in a caller with the key of configuration %d, which was taken away more than %s ago", x.Name, n, keysWithin)
+		if n := r.lastRevoked(); n >= 0 && r.acceptsKey(x, local.KeyForQueues(extraQueue(n))) {
+			r.violationf("%s let in a caller with the key of configuration %d, which was taken away more than %s ago", x.Name, n, keysWithin)
 		}
 	}
 }
 
-// accepted reports whether a call with the key is answered with success.
-func (r *Run) accepted(x *local.JobsEntry, key string) bool {
-	code, _, err := x.CallWith(key, http.MethodGet, queues[0], "", nil)
+// acceptsKey reports whether a call with the key is answered with success.
+func (r *Run) acceptsKey(x *local.JobsEntry, key string) bool {
+	code, _, err := x.CallWithKey(key, http.MethodGet, queues[0], "", nil)
 	if err == nil && code == http.StatusOK {
 		return true
 	}
@@ -43,13 +43,13 @@
 	return false
 }
 
-// takenAway returns the newest configuration whose key has been gone for longer than it
+// lastRevoked returns the newest configuration whose key has been gone for longer than it
 // may work, or -1.
-func (r *Run) takenAway() int {
+func (r *Run) lastRevoked() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := len(r.versions) - 1; i > 0; i-- {
-		if v := r.versions[i]; !v.acceptedAt.IsZero() && time.Since(v.acceptedAt) > keysWithin {
+	for i := len(r.configs) - 1; i > 0; i-- {
+		if v := r.configs[i]; !v.acceptedAt.IsZero() && time.Since(v.acceptedAt) > keysWithin {
 			return i - 1
 		}
 	}
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -11,72 +11,72 @@
 	"golang.org/x/time/rate"
 )
 
-// Trouble is what is wrong with a Link.
-type Trouble int
+// LinkState is what is wrong with a Link.
+type LinkState int
 
 // The troubles of a link.
 const (
-	// Sound passes all bytes on.
-	Sound Trouble = iota
+	// Healthy passes all bytes on.
+	Healthy LinkState = iota
 	// Slow holds each read back by slowBy.
 	Slow
-	// Silent passes nothing on, either way.
-	Silent
-	// OneWay passes requests on and no answers.
-	OneWay
+	// Blocked passes nothing on, either way.
+	Blocked
+	// AnswersBlocked passes requests on and no answers.
+	AnswersBlocked
 	// Reset breaks all connections, and each new one.
 	Reset
-	troubles
+	linkStates
 )
 
-// slowBy is how long a slow link holds bytes back: as long as an answer of a slow
+// slowDelay is how long a slow link holds bytes back: as long as an answer of a slow
 // store takes.
-const slowBy = 120 * time.Millisecond
+const slowDelay = 120 * time.Millisecond
 
-// Way is where connections lead to.
-type Way string
+// Upstream is where connections lead to.
+type Upstream string
 
 // The ways out of an entry host. Connections to workers have no links: they fall
 // silent at the workers.
 const (
-	wayStore    Way = "store"
-	wayMachines Way = "machines"
-	wayWorkers  Way = "workers"
+	upstreamStore    Upstream = "store"
+	upstreamMachines Upstream = "machines"
+	upstreamWorkers  Upstream = "workers"
 )
 
 // links are an entry host's.
-type links map[Way]*Link
+type links map[Upstream]*Link
 
 // Link passes connections on to an address, over loopback.
 type Link struct {
-	listener net.Listener
-	to       string
-	mu       sync.Mutex
-	trouble  Trouble
-	// bytes bounds what the link carries, both ways together, while it is narrow.
-	bytes   *rate.Limiter
-	changed chan struct{}
-	open    map[*joint]bool
+	listener  net.Listener
+	upstream  string
+	mu        sync.Mutex
+	linkState LinkState
+	// limiter bounds what the link carries, both ways together, while it is narrow.
+	limiter      *rate.Limiter
+	stateChanged chan struct{}
+	conns        map[*proxiedConn]bool
 }
 
-// joint is a connection and the one that passes it on. What it loses is lost for
+// proxiedConn is a connection and the one that passes it on. What it loses is lost for
 // good, and neither side learns of the other's end.
-type joint struct {
-	caller, server    net.Conn
-	requests, answers atomic.Bool
+type proxiedConn struct {
+	client, server            net.Conn
+	loseRequests, loseAnswers atomic.Bool
 }
 
-func (j *joint) close() {
-	reset(j.caller)
-	reset(j.server)
+func (j *proxiedConn) close() {
+	resetConn(j.client)
+	resetConn(j.server)
 }
 
 // loses reports whether what goes one way is lost.
-func (j *joint) loses(answers bool) bool {
+func (j *proxiedConn) loses(answers bool) bool {
 	if answers {
-		return j.answers.Load()
+		return j.loseAnswers.Load()
 	}
-	return j.requests.Load()
+	return j.loseRequests.Load()
 }
 
 // NewLink returns a sound link to the address.
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, to: to, changed: make(chan struct{}), open: map[*joint]bool{}}
+	k := &Link{listener: l, upstream: to, stateChanged: make(chan struct{}), conns: map[*proxiedConn]bool{}}
 	go k.accept()
 	return k, nil
 }
@@ -95,30 +95,30 @@
 	return k.listener.Addr().String()
 }
 
-// Set switches what is wrong with the link.
-func (k *Link) Set(t Trouble) {
+// SetState switches what is wrong with the link.
+func (k *Link) SetState(t LinkState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.trouble = t
-	close(k.changed)
-	k.changed = make(chan struct{})
+	k.linkState = t
+	close(k.stateChanged)
+	k.stateChanged = make(chan struct{})
 	if t == Reset {
-		k.breakAll()
+		k.resetAll()
 	}
 }
 
-// Narrow has the link carry no more than the limiter allows, which other links may
+// SetLimiter has the link carry no more than the limiter allows, which other links may
 // share; nil is no bound.
-func (k *Link) Narrow(l *rate.Limiter) {
+func (k *Link) SetLimiter(l *rate.Limiter) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.bytes = l
+	k.limiter = l
 }
 
-// squeeze waits until so many bytes may pass.
-func (k *Link) squeeze(n int) {
+// throttle waits until so many bytes may pass.
+func (k *Link) throttle(n int) {
 	k.mu.Lock()
-	l := k.bytes
+	l := k.limiter
 	k.mu.Unlock()
 	if l == nil {
 		return
@@ -135,14 +135,14 @@
 	_ = k.listener.Close()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.breakAll()
+	k.resetAll()
 }
 
-func (k *Link) breakAll() {
-	for j := range k.open {
+func (k *Link) resetAll() {
+	for j := range k.conns {
 		j.close()
 	}
-	clear(k.open)
+	clear(k.conns)
 }
 
 // Silence has all open connections lose what they carry from now on, for good:
@@ -150,24 +150,24 @@
 func (k *Link) Silence(oneWay bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for j := range k.open {
-		j.answers.Store(true)
-		j.requests.Store(!oneWay || j.requests.Load())
+	for j := range k.conns {
+		j.loseAnswers.Store(true)
+		j.loseRequests.Store(!oneWay || j.loseRequests.Load())
 	}
 }
 
-// reset closes a connection so that the other side gets a reset.
-func reset(c net.Conn) {
+// resetConn closes a connection so that the other side gets a reset.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func (k *Link) state() (Trouble, <-chan struct{}) {
+func (k *Link) state() (LinkState, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.trouble, k.changed
+	return k.linkState, k.stateChanged
 }
 
 func (k *Link) accept() {
@@ -177,41 +177,41 @@
 			return
 		}
 		if t, _ := k.state(); t == Reset {
-			reset(c)
+			resetConn(c)
 			continue
 		}
-		go k.join(c)
+		go k.serve(c)
 	}
 }
 
-func (k *Link) join(c net.Conn) {
-	d, err := net.Dial("tcp", k.to)
+func (k *Link) serve(c net.Conn) {
+	d, err := net.Dial("tcp", k.upstream)
 	if err != nil {
-		reset(c)
+		resetConn(c)
 		return
 	}
-	j := &joint{caller: c, server: d}
+	j := &proxiedConn{client: c, server: d}
 	k.mu.Lock()
-	k.open[j] = true
+	k.conns[j] = true
 	k.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { k.pass(j, c, d, false) })
-	k.pass(j, d, c, true)
+	wg.Go(func() { k.forward(j, c, d, false) })
+	k.forward(j, d, c, true)
 	wg.Wait()
 	k.mu.Lock()
-	delete(k.open, j)
+	delete(k.conns, j)
 	k.mu.Unlock()
 }
 
-// pass copies bytes one way until either side closes.
-func (k *Link) pass(j *joint, from, to net.Conn, answers bool) {
-	defer k.end(j, from, answers)
+// forward copies bytes one way until either side closes.
+func (k *Link) forward(j *proxiedConn, from, to net.Conn, answers bool) {
+	defer k.closeConns(j, from, answers)
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
 		if n > 0 {
-			k.hold(answers)
-			k.squeeze(n)
+			k.delay(answers)
+			k.throttle(n)
 		}
 		if n > 0 && !j.loses(answers) {
 			if _, err := to.Write(b[:n]); err != nil {
@@ -223,31 +223,31 @@
 				return
 			}
 			// Let the other direction finish what is under way.
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 			return
 		}
 	}
 }
 
-// end closes both sides, or only the one that has ended if the other is not to
+// closeConns closes both sides, or only the one that has ended if the other is not to
 // learn of it.
-func (*Link) end(j *joint, from net.Conn, answers bool) {
+func (*Link) closeConns(j *proxiedConn, from net.Conn, answers bool) {
 	if j.loses(answers) {
-		reset(from)
+		resetConn(from)
 		return
 	}
 	j.close()
 }
 
-// hold waits while the link lets nothing through.
-func (k *Link) hold(answers bool) {
+// delay waits while the link lets nothing through.
+func (k *Link) delay(answers bool) {
 	for {
 		t, changed := k.state()
 		switch {
-		case t == Silent, t == OneWay && answers:
+		case t == Blocked, t == AnswersBlocked && answers:
 			<-changed
 		case t == Slow:
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 			return
 		default:
 			return
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -13,20 +13,20 @@
 
 // Options say what a run is to be like.
 type Options struct {
-	Seed    uint64
-	For     time.Duration
-	Entries int
+	Seed     uint64
+	Duration time.Duration
+	Entries  int
 	// Workers are the machines of each of two pools.
 	Workers int
-	// Crashing has jobs handed in whose task crashes each worker that starts it.
-	Crashing bool
-	// Lasting has lasting jobs handed in of which only some tasks may be away, beside waves
+	// CrashingJobs has jobs handed in whose task crashes each worker that starts it.
+	CrashingJobs bool
+	// DisruptionBudgets has lasting jobs handed in of which only some tasks may be away, beside waves
 	// in series and a load by turns.
-	Lasting bool
-	// LateHosts has some orders to machines carried out late, after newer ones.
-	LateHosts bool
-	// Bin is the folder with the programs, Dir the one for logs.
-	Bin, Dir string
+	DisruptionBudgets bool
+	// DelayMachineOrders has some orders to machines carried out late, after newer ones.
+	DelayMachineOrders bool
+	// BinDir is the folder with the programs, Dir the one for logs.
+	BinDir, LogDir string
 	// Out takes a line for each event.
 	Out io.Writer
 }
@@ -34,81 +34,81 @@
 // Run is one run.
 type Run struct {
 	Options
-	jobs  *local.Jobs
-	links map[string]links
-	// endsAt is when all faults are over and settle has passed, watchedTo when
+	deployment *local.JobsDeployment
+	links      map[string]links
+	// settledAt is when all faults are over and settle has passed, watchedTo when
 	// what lasts was watched for long enough.
-	endsAt, watchedTo time.Time
-	mu                sync.Mutex
+	settledAt, watchUntil time.Time
+	mu                    sync.Mutex
 	// faults are those of each scope, lives counts processes of entry hosts.
-	faults map[string]*faults
-	lives  map[string]int
-	// configuring is held while a configuration is written.
-	configuring sync.Mutex
-	versions    []version
-	cancels     []*cancelling
-	busy        map[string]bool
-	waves       int64
-	refused     []string
-	counts      map[string]int
-	broken      []string
+	faults       map[string]*faultState
+	incarnations map[string]int
+	// configMu is held while a configuration is written.
+	configMu      sync.Mutex
+	configs       []configuration
+	cancellations []*cancellation
+	busy          map[string]bool
+	waveCount     int64
+	refusedJobs   []string
+	counts        map[string]int
+	violations    []string
 }
 
 // Report is what came of a run.
 type Report struct {
 	Counts map[string]int
 	Starts int
-	// Broken are the promises that broke.
-	Broken []string
+	// Violations are the promises that broke.
+	Violations []string
 }
 
 // Do runs a deployment under the faults that follow from the seed.
 func Do(o Options) (Report, error) {
-	r := &Run{Options: o, links: map[string]links{}, busy: map[string]bool{}, counts: map[string]int{}, faults: map[string]*faults{}, lives: map[string]int{}}
+	r := &Run{Options: o, links: map[string]links{}, busy: map[string]bool{}, counts: map[string]int{}, faults: map[string]*faultState{}, incarnations: map[string]int{}}
 	defer r.close()
 	var err error
-	r.jobs, err = local.StartJobs(o.Bin, o.Dir, local.JobsOptions{
-		Entries: o.Entries, Workers: map[string]int{"blue": o.Workers, "green": o.Workers}, Spare: 2, Via: r.via, KeysWithin: keysWithin,
+	r.deployment, err = local.StartJobsDeployment(o.BinDir, o.LogDir, local.JobsOptions{
+		Entries: o.Entries, Workers: map[string]int{"blue": o.Workers, "green": o.Workers}, SpareMachines: 2, ProxyAddress: r.proxyAddress, KeysWithin: keysWithin,
 	})
 	if err != nil {
 		return Report{}, err
 	}
-	r.jobs.Fleet.Books.CheckOrder(firstStep)
-	l := r.beginLasting()
-	if r.Lasting {
-		l = append(l, r.beginGuarded()...)
+	r.deployment.Fleet.Checker.CheckStepOrder(firstStepTasks)
+	l := r.submitLastingJobs()
+	if r.DisruptionBudgets {
+		l = append(l, r.submitBudgetedJobs()...)
 	}
-	r.endsAt = time.Now().Add(o.For + settle)
-	r.watchedTo = time.Now().Add(o.For + watchFor)
-	if r.LateHosts {
-		r.postponeHostOrders()
+	r.settledAt = time.Now().Add(o.Duration + settleTime)
+	r.watchUntil = time.Now().Add(o.Duration + watchTime)
+	if r.DelayMachineOrders {
+		r.delayMachineOrders()
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { r.watchLasting(l) })
 	wg.Go(r.watchCancelled)
-	if o.Crashing {
-		wg.Go(r.crashWorkers)
+	if o.CrashingJobs {
+		wg.Go(r.runCrashingJobs)
 	}
 	for i := range o.Entries {
-		f := &follower{run: r, index: i, told: -1}
+		f := &configChecker{run: r, index: i, reported: -1}
 		wg.Go(f.watch)
-		wg.Go(func() { r.callWithoutKeys(i) })
+		wg.Go(func() { r.checkInvalidKeys(i) })
 	}
-	wg.Go(func() { r.disturb(&wg) })
-	for n := 0; time.Until(r.endsAt) > settle; n++ {
-		wg.Go(func() { r.call(n) })
+	wg.Go(func() { r.injectFaults(&wg) })
+	for n := 0; time.Until(r.settledAt) > settleTime; n++ {
+		wg.Go(func() { r.runJob(n) })
 		if n%cancelEvery == 0 {
-			wg.Go(func() { r.callAndCancel(n) })
+			wg.Go(func() { r.runCancelledJob(n) })
 		}
-		time.Sleep(callEvery)
+		time.Sleep(callInterval)
 	}
 	wg.Wait()
 	return r.report(), nil
 }
 
-// via has an entry host reach a service of the platform by a link of its own: the
+// proxyAddress has an entry host reach a service of the platform by a link of its own: the
 // store first, then the machines.
-func (r *Run) via(entry, address string) (string, error) {
+func (r *Run) proxyAddress(entry, address string) (string, error) {
 	k, err := NewLink(address)
 	if err != nil {
 		return "", err
@@ -118,9 +118,9 @@
 	if r.links[entry] == nil {
 		r.links[entry] = links{}
 	}
-	way := wayStore
-	if r.links[entry][wayStore] != nil {
-		way = wayMachines
+	way := upstreamStore
+	if r.links[entry][upstreamStore] != nil {
+		way = upstreamMachines
 	}
 	r.links[entry][way] = k
 	return k.Address(), nil
@@ -141,54 +141,54 @@
 
 // entry returns an entry host; numbers beyond the last go round.
 func (r *Run) entry(n int) *local.JobsEntry {
-	return r.jobs.Entry(n % r.Entries)
+	return r.deployment.Entry(n % r.Entries)
 }
 
-func (r *Run) disturb(wg *sync.WaitGroup) {
+func (r *Run) injectFaults(wg *sync.WaitGroup) {
 	begun := time.Now()
 	for _, e := range r.plan() {
 		time.Sleep(e.At - time.Since(begun))
 		fmt.Fprintln(r.Out, e)
-		wg.Go(func() { r.hit(e) })
+		wg.Go(func() { r.inject(e) })
 	}
 }
 
-// waveFaults is how many events of a plan come to one that stays beside waves in series:
+// budgetedEventStride is how many events of a plan come to one that stays beside waves in series:
 // where faults follow one another at once, owners do not last long enough to empty hosts.
-const waveFaults = 5
+const budgetedEventStride = 5
 
 // plan returns the events of the run.
 func (r *Run) plan() []Event {
-	l := Plan(r.Seed, r.Entries, r.For)
-	if !r.Lasting {
+	l := Plan(r.Seed, r.Entries, r.Duration)
+	if !r.DisruptionBudgets {
 		return l
 	}
 	n := 0
-	l = slices.DeleteFunc(l, func(Event) bool { n++; return n%waveFaults != 0 })
-	return inOrder(append(l, waves(rand.New(rand.NewPCG(r.Seed, 4)), r.For)...))
+	l = slices.DeleteFunc(l, func(Event) bool { n++; return n%budgetedEventStride != 0 })
+	return sortByTime(append(l, waves(rand.New(rand.NewPCG(r.Seed, 4)), r.Duration)...))
 }
 
 func (r *Run) report() Report {
-	b := r.jobs.Fleet.Books
-	r.countLate()
-	for _, id := range r.refused {
+	b := r.deployment.Fleet.Checker
+	r.countLateStarts()
+	for _, id := range r.refusedJobs {
 		if b.Started(id) {
-			r.brokef("%s was refused each time and has run", id)
+			r.violationf("%s was refused each time and has run", id)
 		}
 	}
-	for n := range r.waves {
-		if m := r.jobs.Fleet.MostDown(n + 1); m > waveCap {
-			r.brokef("wave %d had %d machines down, and %d may be", n+1, m, waveCap)
+	for n := range r.waveCount {
+		if m := r.deployment.Fleet.MaxDown(n + 1); m > waveMaxDown {
+			r.violationf("wave %d had %d machines down, and %d may be", n+1, m, waveMaxDown)
 		}
 	}
-	r.counts["ended at work"] = b.Endings()
-	r.counts["late host orders"] = r.jobs.Fleet.PostponedOrders()
-	return Report{Counts: r.counts, Starts: b.Starts(), Broken: append(r.broken, b.Broken()...)}
+	r.counts["ended at work"] = b.Disruptions()
+	r.counts["late host orders"] = r.deployment.Fleet.DelayedMachineOrders()
+	return Report{Counts: r.counts, Starts: b.StartCount(), Violations: append(r.violations, b.Violations()...)}
 }
 
 func (r *Run) close() {
-	if r.jobs != nil {
-		r.jobs.Stop()
+	if r.deployment != nil {
+		r.deployment.Stop()
 	}
 	for _, l := range r.links {
 		for _, k := range l {
@@ -197,17 +197,17 @@
 	}
 }
 
-// watched reports whether what lasts was watched for long enough.
-func (r *Run) watched() bool {
-	return time.Now().After(r.watchedTo)
+// watchIsOver reports whether what lasts was watched for long enough.
+func (r *Run) watchIsOver() bool {
+	return time.Now().After(r.watchUntil)
 }
 
 func (r *Run) settled() bool {
-	return time.Now().After(r.endsAt)
+	return time.Now().After(r.settledAt)
 }
 
-// take reserves an entry host for one fault of its process.
-func (r *Run) take(name string) bool {
+// reserve reserves an entry host for one fault of its process.
+func (r *Run) reserve(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.busy[name] {
@@ -229,15 +229,15 @@
 	r.counts[what]++
 }
 
-func (r *Run) brokef(format string, a ...any) {
+func (r *Run) violationf(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf(format, a...))
+	r.violations = append(r.violations, fmt.Sprintf(format, a...))
 }
 
-// fail notes an error of the run itself, so that it does not pass for a success.
-func (r *Run) fail(err error) {
+// recordError notes an error of the run itself, so that it does not pass for a success.
+func (r *Run) recordError(err error) {
 	if err != nil {
-		r.brokef("the run failed: %v", err)
+		r.violationf("the run failed: %v", err)
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-func TestPlanFollowsFromItsSeed(t *testing.T) {
+func TestPlanIsDeterministic(t *testing.T) {
 	require.Equal(t, Plan(7, 4, time.Minute), Plan(7, 4, time.Minute))
 	require.NotEqual(t, Plan(7, 4, time.Minute), Plan(8, 4, time.Minute))
 	seen := map[Kind]bool{}
@@ -18,7 +18,7 @@
 		for _, e := range Plan(seed, 4, time.Minute) {
 			seen[e.Kind] = true
 			if e.Kind == LinkFault {
-				require.NotEqual(t, Sound, e.Trouble)
+				require.NotEqual(t, Healthy, e.LinkState)
 			}
 			require.Less(t, e.Entry, 4)
 		}
@@ -68,13 +68,13 @@
 	return time.Since(begun), err
 }
 
-// TestNarrowLinkHoldsBackWhatItDoesNotCarry sends 30 kB over 100 kB a second.
-func TestNarrowLinkHoldsBackWhatItDoesNotCarry(t *testing.T) {
+// TestLinkLimitsBandwidth sends 30 kB over 100 kB a second.
+func TestLinkLimitsBandwidth(t *testing.T) {
 	came := make(chan byte, 30000)
 	k, err := NewLink(echoTo(t, came))
 	require.NoError(t, err)
 	defer k.Close()
-	k.Narrow(rate.NewLimiter(100e3, 1000))
+	k.SetLimiter(rate.NewLimiter(100e3, 1000))
 	c, err := net.Dial("tcp", k.Address())
 	require.NoError(t, err)
 	defer c.Close()
@@ -90,7 +90,7 @@
 	require.Greater(t, time.Since(begun), 250*time.Millisecond)
 }
 
-func TestLinkDoesWhatItsTroubleSays(t *testing.T) {
+func TestLinkFollowsItsState(t *testing.T) {
 	k, err := NewLink(echo(t))
 	require.NoError(t, err)
 	t.Cleanup(k.Close)
@@ -98,25 +98,25 @@
 	require.NoError(t, err)
 	_, err = ask(c, time.Second)
 	require.NoError(t, err)
-	k.Set(Slow)
+	k.SetState(Slow)
 	d, err := ask(c, time.Second)
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, d, 2*slowBy, "both ways")
-	for _, x := range []Trouble{Silent, OneWay} {
-		k.Set(x)
+	require.GreaterOrEqual(t, d, 2*slowDelay, "both ways")
+	for _, x := range []LinkState{Blocked, AnswersBlocked} {
+		k.SetState(x)
 		_, err = ask(c, 200*time.Millisecond)
 		require.Error(t, err)
-		k.Set(Sound)
+		k.SetState(Healthy)
 		_ = c.SetDeadline(time.Now().Add(time.Second))
 		_, err = c.Read(make([]byte, 1))
 		require.NoError(t, err, "what was held back comes after the trouble")
 	}
-	k.Set(Reset)
+	k.SetState(Reset)
 	_, err = ask(c, time.Second)
 	require.Error(t, err)
 }
 
-func TestSilencedConnectionsStaySilentAndNewOnesPass(t *testing.T) {
+func TestSilencedConnectionsStaySilentWhileNewOnesWork(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan byte, 10)
@@ -142,7 +142,7 @@
 			require.Eventually(t, func() bool {
 				k.mu.Lock()
 				defer k.mu.Unlock()
-				return oneWay == (len(k.open) == 1)
+				return oneWay == (len(k.conns) == 1)
 			}, time.Second, 5*time.Millisecond, "the server learns of the end only by what passes")
 		})
 	}
--- a/internal/soak/stops.go
+++ b/internal/soak/stops.go
@@ -11,48 +11,48 @@
 
 // Figures of a planned stop's callers.
 const (
-	// pausingCallers is how many callers keep connections open to a host that stops.
-	pausingCallers = 6
-	// leastPause and mostPause bound the time between two requests of one of them, which
+	// idleCallers is how many callers keep connections open to a host that stops.
+	idleCallers = 6
+	// minPause and mostPause bound the time between two requests of one of them, which
 	// is below what hosts tell callers that a connection stays open for.
-	leastPause, mostPause = 50 * time.Millisecond, 1800 * time.Millisecond
+	minPause, maxPause = 50 * time.Millisecond, 1800 * time.Millisecond
 )
 
-// stop tells an entry host to stop and waits for its end. Callers that keep connections to
+// stopEntry tells an entry host to stop and waits for its end. Callers that keep connections to
 // it open use them until their answers tell them that the host closes them, and none of
 // their requests may be lost.
-func (r *Run) stop(x *local.JobsEntry) {
+func (r *Run) stopEntry(x *local.JobsEntry) {
 	var callers sync.WaitGroup
-	for range pausingCallers {
-		k, err := local.Keep(x.Callers, time.Now().Add(restartWithin))
+	for range idleCallers {
+		k, err := local.DialKeepAlive(x.Callers, time.Now().Add(entryStopTimeout))
 		if err != nil {
 			continue
 		}
 		callers.Go(func() {
 			defer k.Close()
-			r.useKept(x, k)
+			r.useConn(x, k)
 		})
 	}
-	time.Sleep(leastPause)
+	time.Sleep(minPause)
 	_ = x.Signal(syscall.SIGTERM)
-	if _, err := x.Wait(restartWithin); err != nil {
-		r.brokef("%s was told to stop: %v", x.Name, err)
+	if _, err := x.Wait(entryStopTimeout); err != nil {
+		r.violationf("%s was told to stop: %v", x.Name, err)
 	}
 	callers.Wait()
 }
 
-// useKept asks on the connection, with pauses, until an answer is the last.
-func (r *Run) useKept(x *local.JobsEntry, k *local.Kept) {
+// useConn asks on the connection, with pauses, until an answer is the last.
+func (r *Run) useConn(x *local.JobsEntry, k *local.KeepAliveConn) {
 	for {
-		a, err := k.Ask(x.Waiting(queues[0]))
+		a, err := k.RoundTrip(x.QueueLengthRequest(queues[0]))
 		if err != nil {
-			r.brokef("%s lost a request on a kept connection as it stopped: %v", x.Name, err)
+			r.violationf("%s lost a request on a kept connection as it stopped: %v", x.Name, err)
 			return
 		}
 		r.count("kept")
-		if a.Last {
+		if a.Closes {
 			return
 		}
-		time.Sleep(leastPause + rand.N(mostPause-leastPause))
+		time.Sleep(minPause + rand.N(maxPause-minPause))
 	}
 }
--- a/internal/standin/cmd/standin/main.go
+++ b/internal/standin/cmd/standin/main.go
@@ -39,18 +39,18 @@
 }
 
 type callerArgs struct {
-	Entries  []string      `arg:"--entry,separate,required" help:"base URL of an entry host"`
-	Path     string        `arg:"--path,required" help:"/SERVICE/JOB"`
-	Once     bool          `arg:"--once" help:"the requests may not be repeated"`
-	Count    int           `arg:"--count" default:"100"`
-	Interval time.Duration `arg:"--interval" default:"10ms"`
-	Within   time.Duration `arg:"--within" default:"2s"`
+	Entries    []string      `arg:"--entry,separate,required" help:"base URL of an entry host"`
+	Path       string        `arg:"--path,required" help:"/SERVICE/JOB"`
+	AtMostOnce bool          `arg:"--once" help:"the requests may not be repeated"`
+	Count      int           `arg:"--count" default:"100"`
+	Interval   time.Duration `arg:"--interval" default:"10ms"`
+	Timeout    time.Duration `arg:"--within" default:"2s"`
 }
 
 func runCaller(a *callerArgs) error {
 	t := standin.NewCaller().Run(context.Background(), standin.Load{
 		Entries: a.Entries, Count: a.Count, Interval: a.Interval,
-		Paths: []standin.Path{{Path: a.Path, Once: a.Once, Within: a.Within}},
+		Requests: []standin.Request{{Path: a.Path, AtMostOnce: a.AtMostOnce, Timeout: a.Timeout}},
 	})
 	return json.NewEncoder(os.Stdout).Encode(t)
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -13,14 +13,14 @@
 	Down bool `json:"down,omitempty"`
 	// LoseAnswers does what is asked and drops the connection.
 	LoseAnswers bool `json:"lose_answers,omitempty"`
-	// Slow delays every call by so many milliseconds.
-	Slow int `json:"slow_milliseconds,omitempty"`
-	// Fail answers every run with status 500 at once.
-	Fail bool `json:"fail,omitempty"`
-	// FailJob answers runs of one path with status 500 at once.
-	FailJob string `json:"fail_job,omitempty"`
-	// Half sends half of each answer and drops the connection.
-	Half bool `json:"half,omitempty"`
+	// DelayMs delays every call by so many milliseconds.
+	DelayMs int `json:"slow_milliseconds,omitempty"`
+	// FailAll answers every run with status 500 at once.
+	FailAll bool `json:"fail,omitempty"`
+	// FailPrefix answers runs of one path with status 500 at once.
+	FailPrefix string `json:"fail_job,omitempty"`
+	// TruncateAnswers sends half of each answer and drops the connection.
+	TruncateAnswers bool `json:"half,omitempty"`
 	// Hang never answers.
 	Hang bool `json:"hang,omitempty"`
 }
@@ -78,31 +78,31 @@
 		if v.Down {
 			panic(http.ErrAbortHandler)
 		}
-		if v.Slow > 0 {
-			time.Sleep(time.Duration(v.Slow) * time.Millisecond)
+		if v.DelayMs > 0 {
+			time.Sleep(time.Duration(v.DelayMs) * time.Millisecond)
 		}
 		if v.LoseAnswers {
-			h.ServeHTTP(discard{h: http.Header{}}, r)
+			h.ServeHTTP(discardWriter{h: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// discard is a ResponseWriter whose answer is lost.
-type discard struct {
+// discardWriter is a ResponseWriter whose answer is lost.
+type discardWriter struct {
 	h http.Header
 }
 
 // Header returns headers that nobody reads.
-func (d discard) Header() http.Header {
+func (d discardWriter) Header() http.Header {
 	return d.h
 }
 
 // Write drops the bytes.
-func (d discard) Write(b []byte) (int, error) {
+func (d discardWriter) Write(b []byte) (int, error) {
 	return len(b), nil
 }
 
 // WriteHeader drops the status.
-func (d discard) WriteHeader(int) {}
+func (d discardWriter) WriteHeader(int) {}
--- a/internal/standin/fleet/again.go
+++ b/internal/standin/fleet/again.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Again says how a worker crashes and starts again under its id.
-type Again struct {
+// Restart says how a worker crashes and starts again under its id.
+type Restart struct {
 	// DownFor is how long it is down, RecordAfter when it writes its record after its
 	// start: that of before stands until then.
 	DownFor, RecordAfter time.Duration
@@ -15,28 +15,28 @@
 	Times int
 }
 
-// StartAgain has a worker that runs something crash and start again under its id. It
+// Restart has a worker that runs something crash and start again under its id. It
 // returns the id, or "" where nothing runs anywhere.
-func (f *Fleet) StartAgain(a Again) string {
+func (f *Fleet) Restart(a Restart) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.busyMachine()
 	if m == nil {
 		return ""
 	}
-	f.endForAgain(m, a)
+	f.crashForRestart(m, a)
 	return m.ID
 }
 
-func (f *Fleet) endForAgain(m *Machine, a Again) {
+func (f *Fleet) crashForRestart(m *Machine, a Restart) {
 	w := m.worker
-	f.Books.crashed(w.crashed())
+	f.Checker.recordCrash(w.runningTasks())
 	w.end()
-	time.AfterFunc(a.DownFor, func() { f.again(m, w, a) })
+	time.AfterFunc(a.DownFor, func() { f.restart(m, w, a) })
 }
 
-// again starts the worker anew, unless its machine has had an order or was taken away.
-func (f *Fleet) again(m *Machine, before *worker, a Again) {
+// restart starts the worker anew, unless its machine has had an order or was taken away.
+func (f *Fleet) restart(m *Machine, before *worker, a Restart) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.worker != before || m.leaving || m.State != "up" {
@@ -46,20 +46,20 @@
 	if a.Moves {
 		address = anyAddress
 	}
-	if f.bear(m, address, a.ClockOff) != nil && f.bear(m, anyAddress, a.ClockOff) != nil {
+	if f.startWorker(m, address, a.ClockOff) != nil && f.startWorker(m, anyAddress, a.ClockOff) != nil {
 		return
 	}
 	if a.Times--; a.Times > 0 {
 		a.ClockOff = -a.ClockOff
-		f.endForAgain(m, a)
+		f.crashForRestart(m, a)
 		return
 	}
 	w := m.worker
-	time.AfterFunc(a.RecordAfter, func() { f.record(m, w) })
+	time.AfterFunc(a.RecordAfter, func() { f.writeRecord(m, w) })
 }
 
-// record writes the worker's record if it still runs.
-func (f *Fleet) record(m *Machine, w *worker) {
+// writeRecord writes the worker's record if it still runs.
+func (f *Fleet) writeRecord(m *Machine, w *worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.worker == w && !m.leaving && m.State == "up" {
--- a/internal/standin/fleet/crash.go
+++ b/internal/standin/fleet/crash.go
@@ -30,27 +30,27 @@
 // crash ends the machine's worker, and returns its id.
 func (f *Fleet) crash(m *Machine, downFor time.Duration) string {
 	id := m.ID
-	f.Books.crashed(m.worker.crashed())
+	f.Checker.recordCrash(m.worker.runningTasks())
 	m.worker.end()
 	m.State = "down"
 	time.AfterFunc(downFor, func() { f.reboot(m, id) })
 	return id
 }
 
-// backAfter is how long a machine is down whose worker a task has crashed.
-const backAfter = 2 * time.Second
+// crashDowntime is how long a machine is down whose worker a task has crashed.
+const crashDowntime = 2 * time.Second
 
-// crashLife ends a life by what runs there, unless it has ended since.
-func (f *Fleet) crashLife(m *Machine, w *worker) {
+// crashWorker ends a life by what runs there, unless it has ended since.
+func (f *Fleet) crashWorker(m *Machine, w *worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.worker == w && m.State == "up" {
-		f.crash(m, backAfter)
+		f.crash(m, crashDowntime)
 	}
 }
 
-// crashed returns the tasks that run on a worker which is about to crash.
-func (w *worker) crashed() []string {
+// runningTasks returns the tasks that run on a worker which is about to crash.
+func (w *worker) runningTasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Collect(maps.Keys(w.runs))
--- a/internal/standin/fleet/gate.go
+++ b/internal/standin/fleet/gate.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// gate is a listener that can be shut so that connections to it hang, and whose
+// faultyListener is a listener that can be shut so that connections to it hang, and whose
 // open connections can fall silent.
-type gate struct {
+type faultyListener struct {
 	*net.TCPListener
-	mu               sync.Mutex
-	open             map[*silentConn]bool
-	isShut, isClosed chan struct{}
-	shutOnce, once   sync.Once
-	fillers          []net.Conn
+	mu                  sync.Mutex
+	conns               map[*faultyConn]bool
+	hung, closed        chan struct{}
+	hangOnce, closeOnce sync.Once
+	backlogConns        []net.Conn
 }
 
 // anyAddress has the kernel choose a port.
 const anyAddress = "127.0.0.1:0"
 
-func newGate(address string) (*gate, error) {
+func newFaultyListener(address string) (*faultyListener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -32,15 +32,15 @@
 	if !ok {
 		return nil, errors.New("no TCP listener")
 	}
-	return &gate{TCPListener: t, isShut: make(chan struct{}), isClosed: make(chan struct{}), open: map[*silentConn]bool{}}, nil
+	return &faultyListener{TCPListener: t, hung: make(chan struct{}), closed: make(chan struct{}), conns: map[*faultyConn]bool{}}, nil
 }
 
 // Accept returns the next connection, and waits for Close once it is shut.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *faultyListener) Accept() (net.Conn, error) {
 	for {
 		select {
-		case <-g.isShut:
-			<-g.isClosed
+		case <-g.hung:
+			<-g.closed
 			return nil, net.ErrClosed
 		default:
 		}
@@ -54,36 +54,36 @@
 	}
 }
 
-func (g *gate) track(c net.Conn) net.Conn {
-	s := &silentConn{Conn: c, gate: g, closed: make(chan struct{})}
+func (g *faultyListener) track(c net.Conn) net.Conn {
+	s := &faultyConn{Conn: c, listener: g, closed: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.open[s] = true
+	g.conns[s] = true
 	return s
 }
 
-func (g *gate) silence(oneWay bool) {
+func (g *faultyListener) silence(oneWay bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for c := range g.open {
-		c.answers.Store(true)
-		c.requests.Store(!oneWay || c.requests.Load())
+	for c := range g.conns {
+		c.loseAnswers.Store(true)
+		c.loseRequests.Store(!oneWay || c.loseRequests.Load())
 	}
 }
 
-// silentConn is a connection that can fall silent for good.
-type silentConn struct {
+// faultyConn is a connection that can fall silent for good.
+type faultyConn struct {
 	net.Conn
-	gate              *gate
-	requests, answers atomic.Bool
-	once              sync.Once
-	closed            chan struct{}
+	listener                  *faultyListener
+	loseRequests, loseAnswers atomic.Bool
+	closeOnce                 sync.Once
+	closed                    chan struct{}
 }
 
 // Read reads what the other side sends, and nothing more once that is lost.
-func (c *silentConn) Read(b []byte) (int, error) {
+func (c *faultyConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if !c.requests.Load() || isTimeout(err) {
+	if !c.loseRequests.Load() || isTimeout(err) {
 		return n, err
 	}
 	<-c.closed
@@ -91,20 +91,20 @@
 }
 
 // Write sends, unless that is lost.
-func (c *silentConn) Write(b []byte) (int, error) {
-	if c.answers.Load() {
+func (c *faultyConn) Write(b []byte) (int, error) {
+	if c.loseAnswers.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
 // Close closes the connection.
-func (c *silentConn) Close() error {
-	c.once.Do(func() {
+func (c *faultyConn) Close() error {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.gate.mu.Lock()
-		delete(c.gate.open, c)
-		c.gate.mu.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.conns, c)
+		c.listener.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
@@ -115,35 +115,35 @@
 }
 
 // Close ends the listener.
-func (g *gate) Close() error {
-	g.once.Do(func() {
-		close(g.isClosed)
-		for _, c := range g.fillers {
+func (g *faultyListener) Close() error {
+	g.closeOnce.Do(func() {
+		close(g.closed)
+		for _, c := range g.backlogConns {
 			_ = c.Close()
 		}
 	})
 	return g.TCPListener.Close()
 }
 
-// fillWait is how long a connection may take on loopback before the queue of the
+// backlogDialTimeout is how long a connection may take on loopback before the queue of the
 // listener counts as full.
-const fillWait = 50 * time.Millisecond
+const backlogDialTimeout = 50 * time.Millisecond
 
-// shut has new connections hang: nobody accepts any more, and the queue of the
+// hang has new connections hang: nobody accepts any more, and the queue of the
 // listener is as short as it can be, and full.
-func (g *gate) shut() {
-	g.shutOnce.Do(func() {
-		close(g.isShut)
+func (g *faultyListener) hang() {
+	g.hangOnce.Do(func() {
+		close(g.hung)
 		_ = g.SetDeadline(time.Now())
 		if r, err := g.SyscallConn(); err == nil {
 			_ = r.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) })
 		}
 		for range 8 {
-			c, err := net.DialTimeout("tcp", g.Addr().String(), fillWait)
+			c, err := net.DialTimeout("tcp", g.Addr().String(), backlogDialTimeout)
 			if err != nil {
 				return
 			}
-			g.fillers = append(g.fillers, c)
+			g.backlogConns = append(g.backlogConns, c)
 		}
 	})
 }
--- a/internal/standin/fleet/guard.go
+++ b/internal/standin/fleet/guard.go
@@ -11,11 +11,11 @@
 // lateHeader marks an order that is carried out late.
 const lateHeader = "Late"
 
-// Postpone has every second worker, from the first or the second on, leave orders
+// DelayRunOrders has every second worker, from the first or the second on, leave orders
 // to start and to stop without an answer for a time, and carry each out late by
 // what late returns, which has to bear being called from several at once. They
 // answer looks. It returns how many workers those are.
-func (f *Fleet) Postpone(from int, d time.Duration, late func() time.Duration) int {
+func (f *Fleet) DelayRunOrders(from int, d time.Duration, late func() time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -25,71 +25,71 @@
 			continue
 		}
 		n++
-		w.postpone(late)
-		time.AfterFunc(d, func() { w.postpone(nil) })
+		w.setOrderDelay(late)
+		time.AfterFunc(d, func() { w.setOrderDelay(nil) })
 	}
 	return n
 }
 
-func (w *worker) postpone(late func() time.Duration) {
+func (w *worker) setOrderDelay(late func() time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.late = late
+	w.orderDelay = late
 }
 
-// guard answers only calls that mean this life, and none while it is silent.
+// intercept answers only calls that mean this life, and none while it is silent.
 // Orders may be carried out late.
-func (w *worker) guard(h http.Handler) http.Handler {
+func (w *worker) intercept(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
 		silent := w.silent
 		w.mu.Unlock()
 		if silent {
-			w.mute(r)
+			w.dropCall(r)
 		}
 		if x := r.Header.Get("Amberway-Expect-Instance"); x != "" && x != w.id {
 			rw.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		if d, ok := w.lateness(r); ok {
-			w.carryOutLate(h, r, d)
+		if d, ok := w.drawOrderDelay(r); ok {
+			w.executeDelayed(h, r, d)
 			return
 		}
 		h.ServeHTTP(rw, r)
 	})
 }
 
-// mute ends a call without an answer: when the caller gives up or the worker ends,
+// dropCall ends a call without an answer: when the caller gives up or the worker ends,
 // if the worker is silent, else at once.
-func (w *worker) mute(r *http.Request) {
+func (w *worker) dropCall(r *http.Request) {
 	w.mu.Lock()
 	silent := w.silent
 	w.mu.Unlock()
 	if silent {
 		select {
 		case <-r.Context().Done():
-		case <-w.gate.isClosed:
+		case <-w.listener.closed:
 		}
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// lateness returns by how much an order that comes now is late, if it is.
-func (w *worker) lateness(r *http.Request) (time.Duration, bool) {
+// drawOrderDelay returns by how much an order that comes now is late, if it is.
+func (w *worker) drawOrderDelay(r *http.Request) (time.Duration, bool) {
 	if r.URL.Path != "/run-start" && r.URL.Path != "/run-stop" {
 		return 0, false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.late == nil {
+	if w.orderDelay == nil {
 		return 0, false
 	}
-	return w.late(), true
+	return w.orderDelay(), true
 }
 
-// carryOutLate has h serve the order after a time, and leaves the caller without
+// executeDelayed has h serve the order after a time, and leaves the caller without
 // an answer.
-func (w *worker) carryOutLate(h http.Handler, r *http.Request, after time.Duration) {
+func (w *worker) executeDelayed(h http.Handler, r *http.Request, after time.Duration) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -97,10 +97,10 @@
 	q := r.Clone(context.WithoutCancel(r.Context()))
 	q.Body = io.NopCloser(bytes.NewReader(b))
 	q.Header.Set(lateHeader, "1")
-	time.AfterFunc(after, func() { h.ServeHTTP(&nowhere{}, q) })
+	time.AfterFunc(after, func() { h.ServeHTTP(&discardWriter{}, q) })
 	select {
 	case <-r.Context().Done():
-	case <-w.gate.isClosed:
+	case <-w.listener.closed:
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/standin/fleet/guard_test.go
+++ b/internal/standin/fleet/guard_test.go
@@ -9,25 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPostponedOrderIsCarriedOutLate(t *testing.T) {
+func TestDelayedRunOrderIsExecutedLate(t *testing.T) {
 	f := New("spare", time.Second)
 	t.Cleanup(f.Close)
 	require.NoError(t, f.Add("blue", 1, Capacity{CPU: 1000}))
 	w := f.machines[0].worker
 	c := &http.Client{Transport: &http.Transport{}}
-	require.Zero(t, f.Postpone(1, time.Second, nil), "there is one only")
-	require.NoError(t, post(c, w, "a.0.0.0", time.Second))
-	require.Equal(t, 1, f.Postpone(0, 200*time.Millisecond, func() time.Duration { return 300 * time.Millisecond }))
+	require.Zero(t, f.DelayRunOrders(1, time.Second, nil), "there is one only")
+	require.NoError(t, startTask(c, w, "a.0.0.0", time.Second))
+	require.Equal(t, 1, f.DelayRunOrders(0, 200*time.Millisecond, func() time.Duration { return 300 * time.Millisecond }))
 	begun := time.Now()
-	require.ErrorIs(t, post(c, w, "a.0.0.1", 100*time.Millisecond), context.DeadlineExceeded)
-	require.False(t, f.Books.Runs("a.0.0.1"))
-	require.Eventually(t, func() bool { return f.Books.Runs("a.0.0.1") }, time.Second, 5*time.Millisecond)
+	require.ErrorIs(t, startTask(c, w, "a.0.0.1", 100*time.Millisecond), context.DeadlineExceeded)
+	require.False(t, f.Checker.IsRunning("a.0.0.1"))
+	require.Eventually(t, func() bool { return f.Checker.IsRunning("a.0.0.1") }, time.Second, 5*time.Millisecond)
 	require.GreaterOrEqual(t, time.Since(begun), 300*time.Millisecond)
-	require.NoError(t, post(c, w, "a.0.0.2", time.Second), "the time is over")
+	require.NoError(t, startTask(c, w, "a.0.0.2", time.Second), "the time is over")
 	late := map[string]bool{}
-	for _, g := range f.Books.RunsOf("a") {
+	for _, g := range f.Checker.RunsOfJob("a") {
 		late[g.Task] = g.Late
 	}
 	require.Equal(t, map[string]bool{"a.0.0.0": false, "a.0.0.1": true, "a.0.0.2": false}, late)
-	require.Len(t, f.Books.Late(), 1)
+	require.Len(t, f.Checker.LateStarts(), 1)
 }
--- a/internal/standin/fleet/hostorders.go
+++ b/internal/standin/fleet/hostorders.go
@@ -9,43 +9,43 @@
 
 // Answers to an order that is not carried out.
 const (
-	reasonFence = "fence"
-	reasonBusy  = "busy"
+	reasonFenced = "fence"
+	reasonBusy   = "busy"
 )
 
-// hostOrders are the orders to machines.
-type hostOrders struct {
-	// late returns how late an order is carried out, or zero where it is at once.
-	late func() time.Duration
-	// arrived counts them, postponed those that were carried out late.
-	arrived, postponed int
+// machineOrders are the orders to machines.
+type machineOrders struct {
+	// orderDelay returns how late an order is carried out, or zero where it is at once.
+	orderDelay func() time.Duration
+	// ordersReceived counts them, postponed those that were carried out late.
+	ordersReceived, ordersDelayed int
 }
 
-// hostOrder is one order to a machine.
-type hostOrder struct {
+// machineOrder is one order to a machine.
+type machineOrder struct {
 	fence int64
 	// number is its place among all that arrived.
 	number int
-	// done reports whether nothing is left to do, do carries it out on a halted machine.
-	done func(*Machine) bool
-	do   func(*Machine)
-	// held says that it is carried out late.
-	held bool
+	// isDone reports whether nothing is left to do, do carries it out on a halted machine.
+	isDone func(*Machine) bool
+	apply  func(*Machine)
+	// delayed says that it is carried out late.
+	delayed bool
 }
 
-// PostponeOrders leaves orders to machines without an answer for which late returns a
+// DelayMachineOrders leaves orders to machines without an answer for which late returns a
 // time, and carries them out after it. It is not called twice at once.
-func (f *Fleet) PostponeOrders(late func() time.Duration) {
+func (f *Fleet) DelayMachineOrders(late func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.late = late
+	f.orderDelay = late
 }
 
-// PostponedOrders returns how many orders have been carried out late, or refused then.
-func (f *Fleet) PostponedOrders() int {
+// DelayedMachineOrders returns how many orders have been carried out late, or refused then.
+func (f *Fleet) DelayedMachineOrders() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.postponed
+	return f.ordersDelayed
 }
 
 func (f *Fleet) serveMove(w http.ResponseWriter, r *http.Request) {
@@ -53,13 +53,13 @@
 	if !decode(w, r, &q) {
 		return
 	}
-	f.serveOrder(w, r, q.Machine, hostOrder{
-		done: func(m *Machine) bool { return m.Pool == q.Pool },
-		do:   func(m *Machine) { f.move(m, q.Pool) },
+	f.serveOrder(w, r, q.Machine, machineOrder{
+		isDone: func(m *Machine) bool { return m.Pool == q.Pool },
+		apply:  func(m *Machine) { f.move(m, q.Pool) },
 	})
 }
 
-func (f *Fleet) serveUpkeep(w http.ResponseWriter, r *http.Request) {
+func (f *Fleet) serveMaintenance(w http.ResponseWriter, r *http.Request) {
 	var q struct {
 		Machine string
 		Wave    int64
@@ -67,14 +67,14 @@
 	if !decode(w, r, &q) {
 		return
 	}
-	f.serveOrder(w, r, q.Machine, hostOrder{
-		done: func(m *Machine) bool { return m.wave == q.Wave },
-		do:   func(m *Machine) { f.maintain(m, q.Wave) },
+	f.serveOrder(w, r, q.Machine, machineOrder{
+		isDone: func(m *Machine) bool { return m.wave == q.Wave },
+		apply:  func(m *Machine) { f.maintain(m, q.Wave) },
 	})
 }
 
 // serveOrder carries an order out, at once or late and without an answer.
-func (f *Fleet) serveOrder(w http.ResponseWriter, r *http.Request, machine string, o hostOrder) {
+func (f *Fleet) serveOrder(w http.ResponseWriter, r *http.Request, machine string, o machineOrder) {
 	fence, err := strconv.ParseInt(r.Header.Get("Amberway-Fence-Token"), 10, 64)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -88,73 +88,73 @@
 		http.Error(w, "no such machine", http.StatusBadRequest)
 		return
 	}
-	f.arrived++
-	o.number = f.arrived
-	if d := f.lateness(); d > 0 {
-		time.AfterFunc(d, func() { f.carryOutLate(m, o) })
+	f.ordersReceived++
+	o.number = f.ordersReceived
+	if d := f.drawOrderDelay(); d > 0 {
+		time.AfterFunc(d, func() { f.executeDelayed(m, o) })
 		panic(http.ErrAbortHandler)
 	}
-	if reason := f.carryOut(m, o); reason != "" {
-		answer(w, http.StatusConflict, map[string]string{"reason": reason})
+	if reason := f.execute(m, o); reason != "" {
+		writeJSON(w, http.StatusConflict, map[string]string{"reason": reason})
 		return
 	}
-	answer(w, http.StatusOK, map[string]string{})
+	writeJSON(w, http.StatusOK, map[string]string{})
 }
 
-func (f *Fleet) lateness() time.Duration {
-	if f.late == nil {
+func (f *Fleet) drawOrderDelay() time.Duration {
+	if f.orderDelay == nil {
 		return 0
 	}
-	return f.late()
+	return f.orderDelay()
 }
 
-func (f *Fleet) carryOutLate(m *Machine, o hostOrder) {
+func (f *Fleet) executeDelayed(m *Machine, o machineOrder) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.postponed++
-	o.held = true
-	f.carryOut(m, o)
+	f.ordersDelayed++
+	o.delayed = true
+	f.execute(m, o)
 }
 
-// carryOut carries an order out unless its fence is lower than one seen, and returns why
+// execute carries an order out unless its fence is lower than one seen, and returns why
 // not. An order that undoes a newer one breaks a promise.
-func (f *Fleet) carryOut(m *Machine, o hostOrder) string {
+func (f *Fleet) execute(m *Machine, o machineOrder) string {
 	if o.fence < m.fence {
-		return reasonFence
+		return reasonFenced
 	}
 	m.fence = o.fence
-	if o.done(m) {
+	if o.isDone(m) {
 		return ""
 	}
 	if m.State != "up" || m.leaving {
 		return reasonBusy
 	}
-	if o.number < m.newest {
-		f.Books.undone(m.Name, o.fence)
+	if o.number < m.lastOrder {
+		f.Checker.recordUndoneOrder(m.Name, o.fence)
 	}
-	m.newest = max(m.newest, o.number)
-	m.worker.endByOrder(o.held)
-	f.halt(m)
-	o.do(m)
+	m.lastOrder = max(m.lastOrder, o.number)
+	m.worker.checkDisruptions(o.delayed)
+	f.stopWorker(m)
+	o.apply(m)
 	return ""
 }
 
 func (f *Fleet) move(m *Machine, pool string) {
 	f.moves++
 	m.Pool, m.State = pool, "moving"
-	time.AfterFunc(f.DownFor, func() { f.up(m, 0) })
+	time.AfterFunc(f.Downtime, func() { f.endDowntime(m, 0) })
 }
 
 func (f *Fleet) maintain(m *Machine, wave int64) {
 	m.wave, m.State = wave, "upkeep"
-	f.down[wave]++
-	f.mostDown[wave] = max(f.mostDown[wave], f.down[wave])
-	time.AfterFunc(f.DownFor, func() { f.up(m, wave) })
+	f.downByWave[wave]++
+	f.maxDownByWave[wave] = max(f.maxDownByWave[wave], f.downByWave[wave])
+	time.AfterFunc(f.Downtime, func() { f.endDowntime(m, wave) })
 }
 
-// undone notes that an order was carried out after a newer one to its machine.
-func (b *Books) undone(machine string, fence int64) {
+// recordUndoneOrder notes that an order was carried out after a newer one to its machine.
+func (b *Checker) recordUndoneOrder(machine string, fence int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.broken = append(b.broken, fmt.Sprintf("an order of fence %d to %s undid a newer one", fence, machine))
+	b.violations = append(b.violations, fmt.Sprintf("an order of fence %d to %s undid a newer one", fence, machine))
 }
--- a/internal/standin/fleet/hostorders_test.go
+++ b/internal/standin/fleet/hostorders_test.go
@@ -26,7 +26,7 @@
 	return r.StatusCode
 }
 
-func TestLateOrderIsRefusedByItsFenceOrBreaksAPromise(t *testing.T) {
+func TestDelayedMachineOrderIsFencedOrAViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		fence  int
 		broken int
@@ -36,26 +36,26 @@
 			f := New("spare", time.Millisecond)
 			t.Cleanup(f.Close)
 			require.NoError(t, f.Add("spare", 1, Capacity{CPU: 1000}))
-			f.PostponeOrders(func() time.Duration { return 100 * time.Millisecond })
+			f.DelayMachineOrders(func() time.Duration { return 100 * time.Millisecond })
 			require.Zero(t, moveWith(t, f, "blue", c.fence), "no answer")
-			f.PostponeOrders(nil)
+			f.DelayMachineOrders(nil)
 			require.Equal(t, http.StatusOK, moveWith(t, f, "green", 2))
-			require.Eventually(t, func() bool { return f.PostponedOrders() == 1 }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return f.DelayedMachineOrders() == 1 }, time.Second, time.Millisecond)
 			require.Equal(t, []string{"m-000"}, f.Names(c.pool))
-			require.Len(t, f.Books.Broken(), c.broken)
+			require.Len(t, f.Checker.Violations(), c.broken)
 		})
 	}
 }
 
-func TestLateOrderThatIsDoneAlreadyChangesNothing(t *testing.T) {
+func TestDelayedMachineOrderIsIdempotent(t *testing.T) {
 	f := New("spare", time.Millisecond)
 	t.Cleanup(f.Close)
 	require.NoError(t, f.Add("spare", 1, Capacity{CPU: 1000}))
-	f.PostponeOrders(func() time.Duration { return 50 * time.Millisecond })
+	f.DelayMachineOrders(func() time.Duration { return 50 * time.Millisecond })
 	require.Zero(t, moveWith(t, f, "blue", 1))
-	f.PostponeOrders(nil)
+	f.DelayMachineOrders(nil)
 	require.Equal(t, http.StatusOK, moveWith(t, f, "blue", 1))
-	require.Eventually(t, func() bool { return f.PostponedOrders() == 1 }, time.Second, time.Millisecond)
-	require.Empty(t, f.Books.Broken())
+	require.Eventually(t, func() bool { return f.DelayedMachineOrders() == 1 }, time.Second, time.Millisecond)
+	require.Empty(t, f.Checker.Violations())
 	require.Equal(t, 1, f.Moves())
 }
--- a/internal/standin/fleet/machines.go
+++ b/internal/standin/fleet/machines.go
@@ -30,41 +30,41 @@
 	// leaving says that it is being taken away for good.
 	leaving bool
 	// fence is the highest of its orders, newest the number of the last one carried out.
-	fence  int64
-	newest int
+	fence     int64
+	lastOrder int
 }
 
 // Fleet is the store, machines with workers, and the interface to machines.
 type Fleet struct {
-	Store *Store
-	Books *Books
+	Store   *Store
+	Checker *Checker
 	// Spare is the pool whose machines are switched off.
 	Spare string
-	// DownFor is how long a move or upkeep takes.
-	DownFor  time.Duration
+	// Downtime is how long a move or upkeep takes.
+	Downtime time.Duration
 	mu       sync.Mutex
 	machines []*Machine
-	// gone are the lives of machines that were taken away for good, made the
+	// removed are the lives of machines that were taken away for good, made the
 	// number of machines that there ever were.
-	gone    []*worker
-	made    int
-	lives   int
-	kv, api *httptest.Server
-	down    map[int64]int
+	removed      []*worker
+	nextMachine  int
+	lastWorkerID int
+	kv, api      *httptest.Server
+	downByWave   map[int64]int
 	// MostDown is the most machines of each wave that were down at once.
-	mostDown map[int64]int
-	moves    int
-	hostOrders
+	maxDownByWave map[int64]int
+	moves         int
+	machineOrders
 }
 
 // New returns a running fleet without machines.
 func New(spare string, downFor time.Duration) *Fleet {
-	f := &Fleet{Store: NewStore(), Books: NewBooks(), Spare: spare, DownFor: downFor, down: map[int64]int{}, mostDown: map[int64]int{}}
+	f := &Fleet{Store: NewStore(), Checker: NewChecker(), Spare: spare, Downtime: downFor, downByWave: map[int64]int{}, maxDownByWave: map[int64]int{}}
 	f.kv = httptest.NewServer(f.Store.Handler())
 	m := http.NewServeMux()
 	m.HandleFunc("GET /machines", f.serveList)
 	m.HandleFunc("POST /machine-move", f.serveMove)
-	m.HandleFunc("POST /machine-upkeep", f.serveUpkeep)
+	m.HandleFunc("POST /machine-upkeep", f.serveMaintenance)
 	f.api = httptest.NewServer(m)
 	return f
 }
@@ -78,7 +78,7 @@
 			m.worker.end()
 		}
 	}
-	for _, w := range f.gone {
+	for _, w := range f.removed {
 		w.end()
 	}
 	f.Store.Close()
@@ -99,8 +99,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range n {
-		i := f.made
-		f.made++
+		i := f.nextMachine
+		f.nextMachine++
 		m := &Machine{
 			Name: fmt.Sprintf("m-%03d", i), Pool: pool, State: "up", Zone: fmt.Sprint("dc-", i%2),
 			Labels: []string{"a", fmt.Sprintf("r1-%d", i/4)}, Capacity: c,
@@ -119,27 +119,27 @@
 	if m.Pool == f.Spare || m.leaving {
 		return nil
 	}
-	f.lives++
-	m.ID = fmt.Sprintf("i-%06d", f.lives)
-	if err := f.bear(m, anyAddress, 0); err != nil {
+	f.lastWorkerID++
+	m.ID = fmt.Sprintf("i-%06d", f.lastWorkerID)
+	if err := f.startWorker(m, anyAddress, 0); err != nil {
 		return err
 	}
 	return f.Store.Put("servers/"+m.ID, m.worker.record(false))
 }
 
-// bear starts a worker under the machine's id, without a record.
-func (f *Fleet) bear(m *Machine, address string, off time.Duration) error {
-	w, err := newWorker(m.ID, address, off, m, f.Books)
+// startWorker starts a worker under the machine's id, without a record.
+func (f *Fleet) startWorker(m *Machine, address string, off time.Duration) error {
+	w, err := newWorker(m.ID, address, off, m, f.Checker)
 	if err != nil {
 		return err
 	}
-	w.crash = func() { f.crashLife(m, w) }
+	w.crash = func() { f.crashWorker(m, w) }
 	m.worker = w
 	return nil
 }
 
-// halt ends the machine's worker.
-func (f *Fleet) halt(m *Machine) {
+// stopWorker ends the machine's worker.
+func (f *Fleet) stopWorker(m *Machine) {
 	if m.worker != nil {
 		m.worker.end()
 		f.Store.Remove("servers/" + m.ID)
@@ -201,17 +201,17 @@
 	return f.moves
 }
 
-// MostDown returns the most machines of a wave that were down at once.
-func (f *Fleet) MostDown(wave int64) int {
+// MaxDown returns the most machines of a wave that were down at once.
+func (f *Fleet) MaxDown(wave int64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.mostDown[wave]
+	return f.maxDownByWave[wave]
 }
 
 func (f *Fleet) serveList(w http.ResponseWriter, _ *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	answer(w, http.StatusOK, map[string]any{"machines": f.machines, "next_token": nil})
+	writeJSON(w, http.StatusOK, map[string]any{"machines": f.machines, "next_token": nil})
 }
 
 func (f *Fleet) find(name string) *Machine {
@@ -223,9 +223,9 @@
 	return nil
 }
 
-func (f *Fleet) up(m *Machine, wave int64) {
+func (f *Fleet) endDowntime(m *Machine, wave int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.down[wave]--
+	f.downByWave[wave]--
 	_ = f.boot(m)
 }
--- a/internal/standin/fleet/operator.go
+++ b/internal/standin/fleet/operator.go
@@ -35,8 +35,8 @@
 	Teams []Team
 }
 
-// Row returns the configuration as the operator writes it, with the spare pool.
-func (c Config) Row(spare string) any {
+// Document returns the configuration as the operator writes it, with the spare pool.
+func (c Config) Document(spare string) any {
 	type row = map[string]any
 	services := []row{{"name": spare, "headroom": true, "rejects_overload": true}}
 	for _, p := range c.Pools {
@@ -66,11 +66,11 @@
 
 // Configure puts a configuration in force.
 func (f *Fleet) Configure(c Config) error {
-	return f.Store.Put("op/config", c.Row(f.Spare))
+	return f.Store.Put("op/config", c.Document(f.Spare))
 }
 
-// AskWave asks for the upkeep of the machines.
-func (f *Fleet) AskWave(number int64, machines []string, within time.Duration, most int) error {
+// RequestWave asks for the upkeep of the machines.
+func (f *Fleet) RequestWave(number int64, machines []string, within time.Duration, most int) error {
 	return f.Store.Put(fmt.Sprint("op/wave/", number), map[string]any{
 		"wave": number, "machines": machines, "within_s": within.Seconds(), "cap": most,
 	})
@@ -84,14 +84,14 @@
 
 // Step is a step of a job as callers write it.
 type Step struct {
-	Count    int   `json:"count"`
-	CPU      int   `json:"cpu"`
-	MemMB    int   `json:"mem_mb"`
-	After    []int `json:"after,omitempty"`
-	Estimate int   `json:"estimate_ms,omitempty"`
-	Daemon   bool  `json:"daemon,omitempty"`
-	MayMiss  int   `json:"may_miss,omitempty"`
-	Apart    int   `json:"anti_affinity,omitempty"`
+	Count          int   `json:"count"`
+	CPU            int   `json:"cpu"`
+	MemMB          int   `json:"mem_mb"`
+	After          []int `json:"after,omitempty"`
+	EstimateMs     int   `json:"estimate_ms,omitempty"`
+	Daemon         bool  `json:"daemon,omitempty"`
+	MaxUnavailable int   `json:"may_miss,omitempty"`
+	AntiAffinity   int   `json:"anti_affinity,omitempty"`
 }
 
 // Job is a job as callers write it. What a task does is read from the spec: a
--- a/internal/standin/fleet/removal.go
+++ b/internal/standin/fleet/removal.go
@@ -32,11 +32,11 @@
 	defer f.mu.Unlock()
 	if m.worker != nil {
 		f.Store.Remove("servers/" + m.ID)
-		m.worker.leave(r.Hangs)
-		f.gone = append(f.gone, m.worker)
+		m.worker.decommission(r.Hangs)
+		f.removed = append(f.removed, m.worker)
 		m.worker = nil
 	}
-	f.forget(m)
+	f.unlist(m)
 	return nil
 }
 
@@ -57,7 +57,7 @@
 	return nil, fmt.Errorf("%w: %s", errNoWorker, id)
 }
 
-func (f *Fleet) forget(m *Machine) {
+func (f *Fleet) unlist(m *Machine) {
 	for i, o := range f.machines {
 		if o == m {
 			f.machines = append(f.machines[:i:i], f.machines[i+1:]...)
@@ -76,7 +76,7 @@
 		if m.worker == nil || m.leaving || m.State != "up" {
 			continue
 		}
-		if n := m.worker.lasting(); n > most {
+		if n := m.worker.lastingRuns(); n > most {
 			id, pool, most = m.ID, m.Pool, n
 		}
 	}
@@ -100,7 +100,7 @@
 	return false
 }
 
-func (w *worker) lasting() int {
+func (w *worker) lastingRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -120,24 +120,24 @@
 		if r.lasting {
 			used++
 		} else {
-			used += lastingOfOne
+			used += lastingPerRun
 		}
 	}
-	return !w.silent && used <= most*lastingOfOne
+	return !w.silent && used <= most*lastingPerRun
 }
 
-// lastingOfOne is how many lasting tasks take the room of another task.
-const lastingOfOne = 3
+// lastingPerRun is how many lasting tasks take the room of another task.
+const lastingPerRun = 3
 
-// leave ends the life for good.
-func (w *worker) leave(hangs bool) {
+// decommission ends the life for good.
+func (w *worker) decommission(hangs bool) {
 	if !hangs {
 		w.end()
 		return
 	}
 	w.setSilent(true)
 	w.endRuns()
-	w.gate.shut()
+	w.listener.hang()
 }
 
 // SilenceConnections has all open connections of the workers lose what they carry
@@ -148,7 +148,7 @@
 	defer f.mu.Unlock()
 	for _, m := range f.machines {
 		if m.worker != nil {
-			m.worker.gate.silence(oneWay)
+			m.worker.listener.silence(oneWay)
 		}
 	}
 }
--- a/internal/standin/fleet/removal_test.go
+++ b/internal/standin/fleet/removal_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestLeavingMachineSaysSoFirst(t *testing.T) {
+func TestMachineDrainsBeforeItsRemoval(t *testing.T) {
 	f := New("spare", time.Second)
 	t.Cleanup(f.Close)
 	require.NoError(t, f.Add("blue", 1, Capacity{CPU: 1000}))
@@ -62,7 +62,7 @@
 	require.NoError(t, <-done)
 }
 
-func TestLeaseEndsInTimeWhileNobodyCalls(t *testing.T) {
+func TestLeaseExpiresWithoutCalls(t *testing.T) {
 	s := NewStore()
 	t.Cleanup(s.Close)
 	s.mu.Lock()
@@ -72,8 +72,8 @@
 	require.Eventually(t, func() bool { _, ok := s.Value("k"); return !ok }, time.Second, 5*time.Millisecond)
 }
 
-// post starts a task at a worker.
-func post(c *http.Client, w *worker, task string, within time.Duration) error {
+// startTask starts a task at a worker.
+func startTask(c *http.Client, w *worker, task string, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.address()+"/run-start", strings.NewReader(`{"task":"`+task+`","run":1,"spec":"lasts","until_ms":60000}`))
@@ -89,7 +89,7 @@
 	return err
 }
 
-func TestSilentConnectionsOfAWorkerStaySilentAndNewOnesPass(t *testing.T) {
+func TestSilencedConnectionsStaySilentWhileNewOnesWork(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
 			f := New("spare", time.Second)
@@ -97,11 +97,11 @@
 			require.NoError(t, f.Add("blue", 1, Capacity{CPU: 1000}))
 			w := f.machines[0].worker
 			kept, other := &http.Client{Transport: &http.Transport{}}, &http.Client{Transport: &http.Transport{}}
-			require.NoError(t, post(kept, w, "a.0.0.0", time.Second))
+			require.NoError(t, startTask(kept, w, "a.0.0.0", time.Second))
 			f.SilenceConnections(oneWay)
-			require.ErrorIs(t, post(kept, w, "a.0.0.1", 200*time.Millisecond), context.DeadlineExceeded)
-			require.Equal(t, oneWay, f.Books.Runs("a.0.0.1"), "what was asked is done one way")
-			require.NoError(t, post(other, w, "a.0.0.2", time.Second), "a new connection")
+			require.ErrorIs(t, startTask(kept, w, "a.0.0.1", 200*time.Millisecond), context.DeadlineExceeded)
+			require.Equal(t, oneWay, f.Checker.IsRunning("a.0.0.1"), "what was asked is done one way")
+			require.NoError(t, startTask(other, w, "a.0.0.2", time.Second), "a new connection")
 		})
 	}
 }
--- a/internal/standin/fleet/run.go
+++ b/internal/standin/fleet/run.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// stopTakes is how long a lasting run takes to end once it was told to.
-const stopTakes = 200 * time.Millisecond
+// stopDuration is how long a lasting run takes to end once it was told to.
+const stopDuration = 200 * time.Millisecond
 
-// warmsLeast is the shortest that a lasting task takes to be at work that takes any time.
-const warmsLeast = 300 * time.Millisecond
+// minWarmUp is the shortest that a lasting task takes to be at work that takes any time.
+const minWarmUp = 300 * time.Millisecond
 
 // run is one run of a task on a worker.
 type run struct {
-	number  int64
-	began   time.Time
-	work    time.Duration
-	lasting bool
-	failing bool
-	pace    int
-	// warms is how long a lasting run takes to be at work, failsAt when it fails by itself,
+	number    int64
+	startedAt time.Time
+	runTime   time.Duration
+	lasting   bool
+	failing   bool
+	pace      int
+	// warmUp is how long a lasting run takes to be at work, failsAt when it fails by itself,
 	// stopsAt when it ends by an order; never, if zero.
-	warms            time.Duration
+	warmUp           time.Duration
 	failsAt, stopsAt time.Time
-	// atWork says that the books have it as at work.
-	atWork bool
+	// ready says that the books have it as at work.
+	ready bool
 }
 
 // newRun returns a run that begins now.
 func newRun(number int64, b behaviour) *run {
-	r := &run{number: number, began: time.Now(), work: b.work, lasting: b.lasts, failing: b.fails, pace: 100}
-	if b.warms > warmsLeast {
-		r.warms = warmsLeast + rand.N(b.warms-warmsLeast)
+	r := &run{number: number, startedAt: time.Now(), runTime: b.runTime, lasting: b.lasts, failing: b.fails, pace: 100}
+	if b.maxWarmUp > minWarmUp {
+		r.warmUp = minWarmUp + rand.N(b.maxWarmUp-minWarmUp)
 	}
-	if b.failsEach > 0 {
-		r.failsAt = r.began.Add(r.warms + time.Duration(rand.ExpFloat64()*float64(b.failsEach)))
+	if b.meanTimeToFailure > 0 {
+		r.failsAt = r.startedAt.Add(r.warmUp + time.Duration(rand.ExpFloat64()*float64(b.meanTimeToFailure)))
 	}
 	return r
 }
@@ -42,13 +42,13 @@
 // percent returns how far the run is; a lasting one is at work at 100.
 func (r *run) percent() int {
 	if !r.lasting {
-		return int(min(99, 100*time.Since(r.began)/max(1, r.work)))
+		return int(min(99, 100*time.Since(r.startedAt)/max(1, r.runTime)))
 	}
-	return int(min(100, 100*time.Since(r.began)/max(1, r.warms)))
+	return int(min(100, 100*time.Since(r.startedAt)/max(1, r.warmUp)))
 }
 
-// over returns how a lasting run ends by now, or "".
-func (r *run) over(now time.Time) string {
+// lastingOutcome returns how a lasting run ends by now, or "".
+func (r *run) lastingOutcome(now time.Time) string {
 	switch {
 	case !r.stopsAt.IsZero() && !now.Before(r.stopsAt):
 		return "stopped"
@@ -58,28 +58,28 @@
 	return ""
 }
 
-// live ends the runs that are over, and notes which lasting ones are at work.
-func (w *worker) live() {
+// endDueRuns ends the runs that are over, and notes which lasting ones are at work.
+func (w *worker) endDueRuns() {
 	for t, r := range w.runs {
-		if how := w.howOver(r); how != "" {
+		if how := w.outcome(r); how != "" {
 			w.finish(t, r, how)
 			continue
 		}
-		if r.lasting && !r.atWork && r.percent() == 100 {
-			r.atWork = true
-			w.books.cameToWork(t)
+		if r.lasting && !r.ready && r.percent() == 100 {
+			r.ready = true
+			w.checker.recordReady(t)
 		}
 	}
 }
 
-// howOver returns how the run ends by now, or "" where it goes on.
-func (w *worker) howOver(r *run) string {
+// outcome returns how the run ends by now, or "" where it goes on.
+func (w *worker) outcome(r *run) string {
 	switch {
-	case w.until > 0 && w.clock() > w.until:
+	case w.leaseUntil > 0 && w.clockMs() > w.leaseUntil:
 		return "lapsed"
 	case r.lasting:
-		return r.over(time.Now())
-	case time.Since(r.began) < r.work:
+		return r.lastingOutcome(time.Now())
+	case time.Since(r.startedAt) < r.runTime:
 		return ""
 	case r.failing:
 		return "failed"
@@ -89,9 +89,9 @@
 
 func (w *worker) finish(task string, r *run, how string) {
 	delete(w.runs, task)
-	w.number++
-	w.ended = append(w.ended, []any{w.number, task, r.number, how, ""})
-	w.books.ended(task, r.number, how)
+	w.lastEnd++
+	w.endedRuns = append(w.endedRuns, []any{w.lastEnd, task, r.number, how, ""})
+	w.checker.recordEnd(task, r.number, how)
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
@@ -103,14 +103,14 @@
 		return
 	}
 	if r.stopsAt.IsZero() {
-		w.books.endedByOrder(order{task: task, run: r.number, worker: w.id, exempt: late || w.leaving})
-		r.stopsAt = time.Now().Add(stopTakes)
+		w.checker.checkDisruption(stopOrder{task: task, run: r.number, worker: w.id, exempt: late || w.leaving})
+		r.stopsAt = time.Now().Add(stopDuration)
 	}
 }
 
-// endByOrder notes that an order to the worker's machine, which may have been held up, ends
+// checkDisruptions notes that an order to the worker's machine, which may have been held up, ends
 // all that runs.
-func (w *worker) endByOrder(late bool) {
+func (w *worker) checkDisruptions(late bool) {
 	if w == nil {
 		return
 	}
@@ -118,7 +118,7 @@
 	defer w.mu.Unlock()
 	for t, r := range w.runs {
 		if r.stopsAt.IsZero() {
-			w.books.endedByOrder(order{task: t, run: r.number, worker: w.id, exempt: late})
+			w.checker.checkDisruption(stopOrder{task: t, run: r.number, worker: w.id, exempt: late})
 		}
 	}
 }
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Fault is what is wrong with the store.
-type Fault struct {
+// StoreFault is what is wrong with the store.
+type StoreFault struct {
 	// Refuse answers all calls with 503.
 	Refuse bool
-	// Lose does what is asked and answers nothing.
-	Lose bool
-	// Mute leaves watches without an answer; those that wait already hear
+	// LoseAnswers does what is asked and answers nothing.
+	LoseAnswers bool
+	// HangWatches leaves watches without an answer; those that wait already hear
 	// nothing more either.
-	Mute bool
+	HangWatches bool
 	// Delay comes before each answer.
 	Delay time.Duration
 }
 
 // Store is a stand-in of the platform's store.
 type Store struct {
-	mu       sync.Mutex
-	fault    Fault
-	revision int64
-	lease    int64
-	items    map[string]item
-	leases   map[int64]lease
-	history  []item
-	// forgotten is the revision up to which the history is gone.
-	forgotten int64
-	changed   chan struct{}
-	closed    chan struct{}
-	calls     int64
+	mu        sync.Mutex
+	fault     StoreFault
+	revision  int64
+	lastLease int64
+	items     map[string]item
+	leases    map[int64]lease
+	history   []item
+	// compactedTo is the revision up to which the history is gone.
+	compactedTo int64
+	changed     chan struct{}
+	closed      chan struct{}
+	calls       int64
 }
 
 type item struct {
@@ -42,7 +42,7 @@
 	Rev     int64  `json:"rev"`
 	Created int64  `json:"made"`
 	Lease   int64  `json:"lease"`
-	Gone    bool   `json:"gone,omitempty"`
+	Deleted bool   `json:"gone,omitempty"`
 	At      int64  `json:"at,omitempty"`
 }
 
@@ -51,22 +51,22 @@
 	expires time.Time
 }
 
-// historyItems is how many changes a watch may lie behind.
-const historyItems = 20000
+// maxHistory is how many changes a watch may lie behind.
+const maxHistory = 20000
 
 // NewStore returns an empty store.
 func NewStore() *Store {
 	s := &Store{revision: 1, items: map[string]item{}, leases: map[int64]lease{}, changed: make(chan struct{}), closed: make(chan struct{})}
-	go s.endLeases()
+	go s.expireLoop()
 	return s
 }
 
-// leaseTick is how late a lease may end.
-const leaseTick = 20 * time.Millisecond
+// leaseCheckInterval is how late a lease may end.
+const leaseCheckInterval = 20 * time.Millisecond
 
-// endLeases ends leases in time, also while nobody calls.
-func (s *Store) endLeases() {
-	t := time.NewTicker(leaseTick)
+// expireLoop ends leases in time, also while nobody calls.
+func (s *Store) expireLoop() {
+	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -74,7 +74,7 @@
 			return
 		case <-t.C:
 			s.mu.Lock()
-			s.expire()
+			s.expireLeases()
 			s.mu.Unlock()
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // SetFault switches what is wrong.
-func (s *Store) SetFault(f Fault) {
+func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
@@ -128,12 +128,12 @@
 	return i.Value, ok
 }
 
-// Forget drops the history, so that watches have to list anew.
-func (s *Store) Forget() {
+// Compact drops the history, so that watches have to list anew.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgotten = s.revision
+	s.compactedTo = s.revision
 }
 
 func (s *Store) put(key string, value []byte, l int64) {
@@ -141,40 +141,40 @@
 	if o, ok := s.items[key]; ok {
 		created = o.Created
 	}
-	s.note(item{Key: key, Value: value, Rev: s.revision, Created: created, Lease: l})
+	s.apply(item{Key: key, Value: value, Rev: s.revision, Created: created, Lease: l})
 }
 
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; ok {
-		s.note(item{Key: key, Rev: s.revision, Gone: true})
+		s.apply(item{Key: key, Rev: s.revision, Deleted: true})
 	}
 }
 
-func (s *Store) note(i item) {
-	if i.Gone {
+func (s *Store) apply(i item) {
+	if i.Deleted {
 		delete(s.items, i.Key)
 	} else {
 		s.items[i.Key] = i
 	}
 	s.history = append(s.history, i)
-	if len(s.history) > historyItems {
-		s.history = s.history[historyItems/2:]
-		s.forgotten = s.history[0].Rev - 1
+	if len(s.history) > maxHistory {
+		s.history = s.history[maxHistory/2:]
+		s.compactedTo = s.history[0].Rev - 1
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends the leases that are over.
-func (s *Store) expire() {
+// expireLeases ends the leases that are over.
+func (s *Store) expireLeases() {
 	for id, l := range s.leases {
 		if time.Now().After(l.expires) {
-			s.endLease(id)
+			s.revokeLease(id)
 		}
 	}
 }
 
-func (s *Store) endLease(id int64) {
+func (s *Store) revokeLease(id int64) {
 	delete(s.leases, id)
 	s.revision++
 	for k, i := range s.items {
@@ -186,7 +186,7 @@
 
 // since returns the changes after a revision, and whether some are forgotten.
 func (s *Store) since(prefix string, after int64) ([]item, bool) {
-	if after < s.forgotten {
+	if after < s.compactedTo {
 		return nil, true
 	}
 	var l []item
--- a/internal/standin/fleet/store_http.go
+++ b/internal/standin/fleet/store_http.go
@@ -17,20 +17,20 @@
 	m.HandleFunc("GET /kv-watch", s.serveWatch)
 	m.HandleFunc("POST /kv-txn", s.serveTxn)
 	m.HandleFunc("POST /kv-lease", s.serveLease)
-	m.HandleFunc("POST /kv-keep/{id}", s.serveKeep)
-	m.HandleFunc("DELETE /kv-lease-end/{id}", s.serveLeaseEnd)
+	m.HandleFunc("POST /kv-keep/{id}", s.serveLeaseKeepAlive)
+	m.HandleFunc("DELETE /kv-lease-end/{id}", s.serveLeaseRevoke)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls++
-		s.expire()
+		s.expireLeases()
 		f := s.fault
 		s.mu.Unlock()
 		time.Sleep(f.Delay)
 		switch {
 		case f.Refuse:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case f.Lose && r.Method != http.MethodGet:
-			m.ServeHTTP(&nowhere{}, r)
+		case f.LoseAnswers && r.Method != http.MethodGet:
+			m.ServeHTTP(&discardWriter{}, r)
 			panic(http.ErrAbortHandler)
 		default:
 			m.ServeHTTP(w, r)
@@ -38,11 +38,11 @@
 	})
 }
 
-// nowhere takes an answer that is lost.
-type nowhere struct{ h http.Header }
+// discardWriter takes an answer that is lost.
+type discardWriter struct{ h http.Header }
 
 // Header is part of http.ResponseWriter.
-func (n *nowhere) Header() http.Header {
+func (n *discardWriter) Header() http.Header {
 	if n.h == nil {
 		n.h = http.Header{}
 	}
@@ -50,10 +50,10 @@
 }
 
 // Write is part of http.ResponseWriter.
-func (*nowhere) Write(b []byte) (int, error) { return len(b), nil }
+func (*discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 // WriteHeader is part of http.ResponseWriter.
-func (*nowhere) WriteHeader(int) {}
+func (*discardWriter) WriteHeader(int) {}
 
 // decode reads a call's body into v. It answers 400 and reports false where the
 // body is none.
@@ -65,7 +65,7 @@
 	return err == nil
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
@@ -80,12 +80,12 @@
 		return
 	}
 	i.At = s.revision
-	answer(w, http.StatusOK, i)
+	writeJSON(w, http.StatusOK, i)
 }
 
-// pageItems is how many items a page holds: fewer than the platform's 500, so
+// pageSize is how many items a page holds: fewer than the platform's 500, so
 // that pages are met in tests.
-const pageItems = 100
+const pageSize = 100
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
@@ -98,8 +98,8 @@
 		}
 	}
 	slices.SortFunc(l, func(a, b item) int { return strings.Compare(a.Key, b.Key) })
-	more := len(l) > pageItems
-	answer(w, http.StatusOK, map[string]any{"items": l[:min(len(l), pageItems)], "more": more, "at": s.revision})
+	more := len(l) > pageSize
+	writeJSON(w, http.StatusOK, map[string]any{"items": l[:min(len(l), pageSize)], "more": more, "at": s.revision})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -111,7 +111,7 @@
 		s.mu.Lock()
 		l, gone := s.since(q.Get("prefix"), after)
 		at, changed := s.revision, s.changed
-		mute := s.fault.Mute
+		mute := s.fault.HangWatches
 		s.mu.Unlock()
 		switch {
 		case mute:
@@ -124,7 +124,7 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(l) > 0:
-			answer(w, http.StatusOK, map[string]any{"events": l, "at": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": l, "at": at})
 			return
 		}
 		select {
@@ -134,7 +134,7 @@
 		case <-s.closed:
 			return
 		case <-end:
-			answer(w, http.StatusOK, map[string]any{"events": []item{}, "at": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": []item{}, "at": at})
 			return
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	if failed {
-		answer(w, http.StatusPreconditionFailed, map[string]any{"items": there})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": there})
 		return
 	}
 	for _, p := range t.Put {
@@ -180,7 +180,7 @@
 	for _, p := range t.Put {
 		s.put(p.Key, p.Value, p.Lease)
 	}
-	answer(w, http.StatusOK, map[string]int64{"rev": s.revision})
+	writeJSON(w, http.StatusOK, map[string]int64{"rev": s.revision})
 }
 
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
@@ -192,13 +192,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lease++
+	s.lastLease++
 	ttl := time.Duration(q.TTLMs) * time.Millisecond
-	s.leases[s.lease] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	answer(w, http.StatusOK, map[string]int64{"lease": s.lease, "ttl_ms": q.TTLMs})
+	s.leases[s.lastLease] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
+	writeJSON(w, http.StatusOK, map[string]int64{"lease": s.lastLease, "ttl_ms": q.TTLMs})
 }
 
-func (s *Store) serveKeep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveLeaseKeepAlive(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,10 +209,10 @@
 	}
 	l.expires = time.Now().Add(l.ttl)
 	s.leases[id] = l
-	answer(w, http.StatusOK, map[string]int64{"ttl_ms": l.ttl.Milliseconds()})
+	writeJSON(w, http.StatusOK, map[string]int64{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) serveLeaseEnd(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveLeaseRevoke(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,5 +220,5 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.endLease(id)
+	s.revokeLease(id)
 }
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -16,60 +16,60 @@
 	machine *Machine
 	server  *httptest.Server
 	// crash ends the life, as its tasks may do.
-	crash func()
-	gate  *gate
-	books *Books
-	born  time.Time
-	// started is the time of its start by its machine's clock, which may be wrong.
-	started time.Time
-	mu      sync.Mutex
-	over    bool
-	silent  bool
+	crash     func()
+	listener  *faultyListener
+	checker   *Checker
+	startedAt time.Time
+	// reportedStart is the time of its start by its machine's clock, which may be wrong.
+	reportedStart time.Time
+	mu            sync.Mutex
+	stopped       bool
+	silent        bool
 	// leaving says that its record tells that it leaves.
 	leaving bool
-	// late says by how much orders are late, if not nil.
-	late    func() time.Duration
-	fence   int64
-	until   int64
-	runs    map[string]*run
-	highest map[string]int64
-	ended   [][]any
-	// voidTo is the last end from before a lapse of the lease: such ends do not
+	// orderDelay says by how much orders are late, if not nil.
+	orderDelay func() time.Duration
+	fence      int64
+	leaseUntil int64
+	runs       map[string]*run
+	highestRun map[string]int64
+	endedRuns  [][]any
+	// lastVoidEnd is the last end from before a lapse of the lease: such ends do not
 	// count once they are taken note of.
-	voidTo  int64
-	number  int64
-	changed chan struct{}
+	lastVoidEnd int64
+	lastEnd     int64
+	changed     chan struct{}
 }
 
 // newWorker returns a worker that listens at the address and has just started by its
 // machine's clock, which is off by a little.
-func newWorker(id, address string, off time.Duration, m *Machine, b *Books) (*worker, error) {
-	g, err := newGate(address)
+func newWorker(id, address string, off time.Duration, m *Machine, b *Checker) (*worker, error) {
+	g, err := newFaultyListener(address)
 	if err != nil {
 		return nil, err
 	}
 	w := &worker{
-		id: id, pool: m.Pool, machine: m, gate: g, books: b, born: time.Now(), started: time.Now().Add(off),
-		runs: map[string]*run{}, highest: map[string]int64{}, changed: make(chan struct{}),
+		id: id, pool: m.Pool, machine: m, listener: g, checker: b, startedAt: time.Now(), reportedStart: time.Now().Add(off),
+		runs: map[string]*run{}, highestRun: map[string]int64{}, changed: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /run-start", w.serveStart)
 	mux.HandleFunc("POST /run-stop", w.serveStop)
-	mux.HandleFunc("POST /hold", w.serveHold)
+	mux.HandleFunc("POST /hold", w.servePoll)
 	mux.HandleFunc("POST /pace", w.servePace)
-	w.server = &httptest.Server{Listener: g, Config: &http.Server{Handler: w.guard(mux)}}
+	w.server = &httptest.Server{Listener: g, Config: &http.Server{Handler: w.intercept(mux)}}
 	w.server.Start()
-	go w.work()
+	go w.endRunsLoop()
 	return w, nil
 }
 
-// work ends runs in time, also while nobody asks.
-func (w *worker) work() {
+// endRunsLoop ends runs in time, also while nobody asks.
+func (w *worker) endRunsLoop() {
 	for range time.Tick(5 * time.Millisecond) {
 		w.mu.Lock()
-		over := w.over
+		over := w.stopped
 		if !over {
-			w.live()
+			w.endDueRuns()
 		}
 		w.mu.Unlock()
 		if over {
@@ -81,7 +81,7 @@
 // end ends the life and all that runs.
 func (w *worker) end() {
 	w.endRuns()
-	_ = w.gate.Close()
+	_ = w.listener.Close()
 	w.server.CloseClientConnections()
 	go w.server.Close()
 }
@@ -89,19 +89,19 @@
 func (w *worker) endRuns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
+	w.stopped = true
 	for t, r := range w.runs {
-		w.books.ended(t, r.number, "gone")
+		w.checker.recordEnd(t, r.number, "gone")
 	}
 	w.runs = map[string]*run{}
 }
 
-func (w *worker) clock() int64 {
-	return time.Since(w.born).Milliseconds()
+func (w *worker) clockMs() int64 {
+	return time.Since(w.startedAt).Milliseconds()
 }
 
 func (w *worker) refuse(rw http.ResponseWriter, reason string) {
-	answer(rw, http.StatusConflict, map[string]any{"clock_ms": w.clock(), "reason": reason})
+	writeJSON(rw, http.StatusConflict, map[string]any{"clock_ms": w.clockMs(), "reason": reason})
 }
 
 func (w *worker) serveStart(rw http.ResponseWriter, r *http.Request) {
@@ -117,29 +117,29 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.live()
+	w.endDueRuns()
 	switch o := w.runs[q.Task]; {
-	case w.over:
+	case w.stopped:
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case q.Fence < w.fence:
 		w.refuse(rw, "fence")
 	case o != nil && o.number == q.Run:
-		answer(rw, http.StatusOK, map[string]int64{"clock_ms": w.clock()})
-	case q.Run <= w.highest[q.Task]:
+		writeJSON(rw, http.StatusOK, map[string]int64{"clock_ms": w.clockMs()})
+	case q.Run <= w.highestRun[q.Task]:
 		w.refuse(rw, "old")
-	case q.UntilMs <= w.clock():
+	case q.UntilMs <= w.clockMs():
 		w.refuse(rw, "late")
 	default:
 		w.fence = q.Fence
-		w.until = max(w.until, q.UntilMs)
-		w.highest[q.Task] = q.Run
-		b := behaviourOf(q.Spec)
+		w.leaseUntil = max(w.leaseUntil, q.UntilMs)
+		w.highestRun[q.Task] = q.Run
+		b := parseBehaviour(q.Spec)
 		w.runs[q.Task] = newRun(q.Run, b)
 		if b.crashes {
-			time.AfterFunc(crashesAfter, w.crash)
+			time.AfterFunc(crashDelay, w.crash)
 		}
-		w.books.began(q.Task, q.Run, w.id, r.Header.Get(lateHeader) != "")
-		answer(rw, http.StatusOK, map[string]int64{"clock_ms": w.clock()})
+		w.checker.recordStart(q.Task, q.Run, w.id, r.Header.Get(lateHeader) != "")
+		writeJSON(rw, http.StatusOK, map[string]int64{"clock_ms": w.clockMs()})
 	}
 }
 
@@ -159,18 +159,18 @@
 		return
 	}
 	w.fence = q.Fence
-	w.highest[q.Task] = max(w.highest[q.Task], q.Run)
+	w.highestRun[q.Task] = max(w.highestRun[q.Task], q.Run)
 	if o := w.runs[q.Task]; o != nil && o.number == q.Run {
 		w.stop(q.Task, o, r.Header.Get(lateHeader) != "")
 	}
-	answer(rw, http.StatusOK, map[string]int64{"clock_ms": w.clock()})
+	writeJSON(rw, http.StatusOK, map[string]int64{"clock_ms": w.clockMs()})
 }
 
 func (w *worker) servePace(rw http.ResponseWriter, _ *http.Request) {
-	answer(rw, http.StatusOK, map[string]int64{"clock_ms": w.clock()})
+	writeJSON(rw, http.StatusOK, map[string]int64{"clock_ms": w.clockMs()})
 }
 
-func (w *worker) serveHold(rw http.ResponseWriter, r *http.Request) {
+func (w *worker) servePoll(rw http.ResponseWriter, r *http.Request) {
 	var q struct {
 		UntilMs  int64 `json:"until_ms"`
 		Fence    int64 `json:"fence"`
@@ -187,39 +187,39 @@
 		w.refuse(rw, "fence")
 		return
 	}
-	w.live()
-	if w.until > 0 && w.clock() > w.until {
-		w.voidTo = w.number
+	w.endDueRuns()
+	if w.leaseUntil > 0 && w.clockMs() > w.leaseUntil {
+		w.lastVoidEnd = w.lastEnd
 	}
 	w.fence = q.Fence
-	w.until = max(w.until, q.UntilMs)
-	for len(w.ended) > 0 {
-		if n, _ := w.ended[0][0].(int64); n > q.LastSeen {
+	w.leaseUntil = max(w.leaseUntil, q.UntilMs)
+	for len(w.endedRuns) > 0 {
+		if n, _ := w.endedRuns[0][0].(int64); n > q.LastSeen {
 			break
 		}
-		if n, _ := w.ended[0][0].(int64); n > w.voidTo {
-			w.books.note(fmt.Sprint(w.ended[0][1]), fmt.Sprint(w.ended[0][3]))
+		if n, _ := w.endedRuns[0][0].(int64); n > w.lastVoidEnd {
+			w.checker.recordAck(fmt.Sprint(w.endedRuns[0][1]), fmt.Sprint(w.endedRuns[0][3]))
 		}
-		w.ended = w.ended[1:]
+		w.endedRuns = w.endedRuns[1:]
 	}
-	for len(w.ended) == 0 && time.Now().Before(end) && !w.over {
-		w.pause()
-		w.live()
+	for len(w.endedRuns) == 0 && time.Now().Before(end) && !w.stopped {
+		w.yieldLock()
+		w.endDueRuns()
 	}
-	if w.over || w.silent {
+	if w.stopped || w.silent {
 		w.mu.Unlock()
 		defer w.mu.Lock()
-		w.mute(r)
+		w.dropCall(r)
 	}
 	running := [][]any{}
 	for t, o := range w.runs {
 		running = append(running, []any{t, o.number, "", o.percent(), 0})
 	}
-	answer(rw, http.StatusOK, map[string]any{"born": w.started.UnixMilli(), "clock_ms": w.clock(), "running": running, "ended": w.ended})
+	writeJSON(rw, http.StatusOK, map[string]any{"born": w.reportedStart.UnixMilli(), "clock_ms": w.clockMs(), "running": running, "ended": w.endedRuns})
 }
 
-// pause lets others in for a moment.
-func (w *worker) pause() {
+// yieldLock lets others in for a moment.
+func (w *worker) yieldLock() {
 	w.mu.Unlock()
 	time.Sleep(2 * time.Millisecond)
 	w.mu.Lock()
@@ -237,6 +237,6 @@
 	}
 	return map[string]any{
 		"service": w.pool, "addr": w.address(), "zone": w.machine.Zone, "state": state, "machine": w.machine.Name,
-		"slots": 8, "seq": 1, "born": w.started.UnixMilli(), "capacity": w.machine.Capacity, "labels": w.machine.Labels, "version": fmt.Sprint("v", 1),
+		"slots": 8, "seq": 1, "born": w.reportedStart.UnixMilli(), "capacity": w.machine.Capacity, "labels": w.machine.Labels, "version": fmt.Sprint("v", 1),
 	}
 }
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -7,49 +7,49 @@
 	"amberway/platform"
 )
 
-// Fate is what becomes of one call to a Memory.
-type Fate int
+// Outcome is what becomes of one call to a Memory.
+type Outcome int
 
 // The fates of a call.
 const (
-	// Fine does what is asked and answers.
-	Fine Fate = iota
+	// Succeeds does what is asked and answers.
+	Succeeds Outcome = iota
 	// NotSent does nothing and says so.
 	NotSent
-	// LostBefore does nothing and loses the answer.
-	LostBefore
-	// LostAfter does what is asked and loses the answer.
-	LostAfter
-	// Late loses the answer and does what is asked at the next Deliver.
-	Late
+	// RequestLost does nothing and loses the answer.
+	RequestLost
+	// AnswerLost does what is asked and loses the answer.
+	AnswerLost
+	// Delayed loses the answer and does what is asked at the next Deliver.
+	Delayed
 )
 
-// Memory is a platform.Store without a network. Decide is called before each
+// FaultyStore is a platform.Store without a network. Decide is called before each
 // call and may itself make calls, which is how a pause between two steps of a
 // process is played.
-type Memory struct {
-	Store  *Store
-	Decide func(write bool) Fate
-	late   []platform.WireTxn
+type FaultyStore struct {
+	Store   *Store
+	Decide  func(write bool) Outcome
+	delayed []platform.WireTxn
 }
 
-// NewMemory returns an empty store where every call is fine.
-func NewMemory() *Memory {
-	return &Memory{Store: NewStore(), Decide: func(bool) Fate { return Fine }}
+// NewFaultyStore returns an empty store where every call is fine.
+func NewFaultyStore() *FaultyStore {
+	return &FaultyStore{Store: NewStore(), Decide: func(bool) Outcome { return Succeeds }}
 }
 
-// Deliver does what late calls asked for.
-func (m *Memory) Deliver() {
-	l := m.late
-	m.late = nil
+// DeliverDelayed does what late calls asked for.
+func (m *FaultyStore) DeliverDelayed() {
+	l := m.delayed
+	m.delayed = nil
 	for _, t := range l {
 		m.Store.Txn(t)
 	}
 }
 
-func readFate(f Fate) error {
+func readError(f Outcome) error {
 	switch f {
-	case Fine, LostAfter, Late:
+	case Succeeds, AnswerLost, Delayed:
 		return nil
 	case NotSent:
 		return platform.ErrNotSent
@@ -59,8 +59,8 @@
 }
 
 // Get is part of platform.Store.
-func (m *Memory) Get(_ context.Context, key string) (platform.Entry, error) {
-	if err := readFate(m.Decide(false)); err != nil {
+func (m *FaultyStore) Get(_ context.Context, key string) (platform.Entry, error) {
+	if err := readError(m.Decide(false)); err != nil {
 		return platform.Entry{}, err
 	}
 	l, _ := m.Store.Range(key, "")
@@ -71,7 +71,7 @@
 }
 
 // GetAfter is part of platform.Store.
-func (m *Memory) GetAfter(ctx context.Context, key string, after platform.Revision) (platform.Entry, bool, error) {
+func (m *FaultyStore) GetAfter(ctx context.Context, key string, after platform.Revision) (platform.Entry, bool, error) {
 	e, err := m.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return e, false, nil
@@ -80,8 +80,8 @@
 }
 
 // List is part of platform.Store.
-func (m *Memory) List(_ context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
-	if err := readFate(m.Decide(false)); err != nil {
+func (m *FaultyStore) List(_ context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
+	if err := readError(m.Decide(false)); err != nil {
 		return nil, 0, err
 	}
 	l, rev := m.Store.Range(prefix, string(platform.PrefixEnd(prefix)))
@@ -93,28 +93,28 @@
 }
 
 // Swap is part of platform.Store.
-func (m *Memory) Swap(_ context.Context, key string, value []byte, base platform.Revision) (platform.Revision, error) {
+func (m *FaultyStore) Swap(_ context.Context, key string, value []byte, base platform.Revision) (platform.Revision, error) {
 	return m.txn(key, base, platform.WireOp{Put: &platform.WirePut{Key: []byte(key), Value: value}})
 }
 
 // Delete is part of platform.Store.
-func (m *Memory) Delete(_ context.Context, key string, base platform.Revision) error {
+func (m *FaultyStore) Delete(_ context.Context, key string, base platform.Revision) error {
 	_, err := m.txn(key, base, platform.WireOp{Delete: &platform.WireDelete{Key: []byte(key)}})
 	return err
 }
 
-func (m *Memory) txn(key string, base platform.Revision, op platform.WireOp) (platform.Revision, error) {
+func (m *FaultyStore) txn(key string, base platform.Revision, op platform.WireOp) (platform.Revision, error) {
 	c := platform.WireCompare{Key: []byte(key), ModRevision: int64(base)}
 	t := platform.WireTxn{Compare: []platform.WireCompare{c}, Success: []platform.WireOp{op}}
 	switch m.Decide(true) {
 	case NotSent:
 		return 0, platform.ErrNotSent
-	case LostBefore:
+	case RequestLost:
 		return 0, platform.ErrUnknown
-	case Late:
-		m.late = append(m.late, t)
+	case Delayed:
+		m.delayed = append(m.delayed, t)
 		return 0, platform.ErrUnknown
-	case LostAfter:
+	case AnswerLost:
 		m.Store.Txn(t)
 		return 0, platform.ErrUnknown
 	default:
@@ -127,26 +127,26 @@
 }
 
 // DeleteRange is part of platform.Store.
-func (m *Memory) DeleteRange(_ context.Context, from, to string) error {
+func (m *FaultyStore) DeleteRange(_ context.Context, from, to string) error {
 	f := m.Decide(true)
 	if f == NotSent {
 		return platform.ErrNotSent
 	}
-	if f == LostBefore {
+	if f == RequestLost {
 		return platform.ErrUnknown
 	}
 	l, _ := m.Store.Range(from, to)
 	for _, k := range l {
 		m.Store.Txn(platform.WireTxn{Success: []platform.WireOp{{Delete: &platform.WireDelete{Key: k.Key}}}})
 	}
-	if f != Fine {
+	if f != Succeeds {
 		return platform.ErrUnknown
 	}
 	return nil
 }
 
 // Watch is part of platform.Store. It only waits.
-func (m *Memory) Watch(ctx context.Context, _ string, _ platform.Revision, _ func([]platform.Event)) error {
+func (m *FaultyStore) Watch(ctx context.Context, _ string, _ platform.Revision, _ func([]platform.Event)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -32,14 +32,14 @@
 	// RebootTime is how long a host stays away in a reboot.
 	RebootTime time.Duration
 
-	reads   atomic.Int64
-	writes  atomic.Int64
-	watches atomic.Int64
-	mu      sync.Mutex
-	hosts   map[string]platform.Host
-	terms   map[string]int64
-	lists   []platform.HostList
-	reboots []platform.Order
+	reads      atomic.Int64
+	writes     atomic.Int64
+	watches    atomic.Int64
+	mu         sync.Mutex
+	hosts      map[string]platform.Host
+	orderTerms map[string]int64
+	snapshots  []platform.HostList
+	reboots    []platform.RebootOrder
 }
 
 // NewPlatform returns a platform with the hosts.
@@ -49,7 +49,7 @@
 		Faults:     NewFaults(),
 		RebootTime: time.Second,
 		hosts:      map[string]platform.Host{},
-		terms:      map[string]int64{},
+		orderTerms: map[string]int64{},
 	}
 	for _, h := range hosts {
 		p.hosts[h.Name] = h
@@ -64,7 +64,7 @@
 	m.HandleFunc("POST /v3/kv/txn", p.kvTxn)
 	m.HandleFunc("POST /v3/kv/deleterange", p.kvDelete)
 	m.HandleFunc("POST /v3/watch", p.watch(name))
-	m.HandleFunc("GET /hosts", p.list)
+	m.HandleFunc("GET /hosts", p.serveHostList)
 	m.HandleFunc("POST /reboot", p.reboot)
 	o := http.NewServeMux()
 	o.Handle("POST /standin/faults", p.Faults)
@@ -83,7 +83,7 @@
 	p.reads.Add(1)
 	l, rev := p.Store.Range(string(q.Key), string(q.RangeEnd))
 	l = slices.DeleteFunc(l, func(k platform.WireKV) bool { return k.ModRevision < q.MinModRevision })
-	encode(w, platform.WireRangeReply{Header: platform.WireHeader{Revision: rev}, KVs: l})
+	writeJSON(w, platform.WireRangeReply{Header: platform.WireHeader{Revision: rev}, KVs: l})
 }
 
 func (p *Platform) kvTxn(w http.ResponseWriter, r *http.Request) {
@@ -93,7 +93,7 @@
 	}
 	p.writes.Add(1)
 	ok, rev := p.Store.Txn(q)
-	encode(w, platform.WireTxnReply{Header: platform.WireHeader{Revision: rev}, Succeeded: ok})
+	writeJSON(w, platform.WireTxnReply{Header: platform.WireHeader{Revision: rev}, Succeeded: ok})
 }
 
 func (p *Platform) kvDelete(w http.ResponseWriter, r *http.Request) {
@@ -106,11 +106,11 @@
 	for _, k := range l {
 		p.Store.Txn(platform.WireTxn{Success: []platform.WireOp{{Delete: &platform.WireDelete{Key: k.Key}}}})
 	}
-	encode(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
-// watchCheck is how often an open watch looks whether its listener is down.
-const watchCheck = 100 * time.Millisecond
+// downCheckInterval is how often an open watch looks whether its listener is down.
+const downCheckInterval = 100 * time.Millisecond
 
 func (p *Platform) watch(name string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -119,7 +119,7 @@
 			return
 		}
 		p.watches.Add(1)
-		encode(w, platform.WireWatchReply{Result: platform.WireWatchResult{Created: true}})
+		writeJSON(w, platform.WireWatchReply{Result: platform.WireWatchResult{Created: true}})
 		_ = http.NewResponseController(w).Flush()
 		p.stream(w, r, q.Create, name)
 	}
@@ -127,13 +127,13 @@
 
 func (p *Platform) stream(w http.ResponseWriter, r *http.Request, c platform.WireWatchCreate, name string) {
 	next := c.StartRevision
-	t := time.NewTicker(watchCheck)
+	t := time.NewTicker(downCheckInterval)
 	defer t.Stop()
 	for {
 		l, n, changed := p.Store.Since(next, string(c.Key), string(c.RangeEnd))
 		next = n
 		if len(l) > 0 {
-			encode(w, platform.WireWatchReply{Result: platform.WireWatchResult{Events: l}})
+			writeJSON(w, platform.WireWatchReply{Result: platform.WireWatchResult{Events: l}})
 			_ = http.NewResponseController(w).Flush()
 		}
 		select {
@@ -148,11 +148,11 @@
 	}
 }
 
-// list answers with the newest list that is at least Lag old.
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+// serveHostList answers with the newest list that is at least Lag old.
+func (p *Platform) serveHostList(w http.ResponseWriter, r *http.Request) {
 	p.reads.Add(1)
 	dc := r.URL.Query().Get("data_centre")
-	l := p.lagging()
+	l := p.laggedList()
 	out := platform.HostList{AsOf: l.AsOf}
 	for _, h := range l.Hosts {
 		if dc == "" || h.DataCentre == dc {
@@ -178,18 +178,18 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	encode(w, l)
+	writeJSON(w, l)
 }
 
-func (p *Platform) lagging() platform.HostList {
+func (p *Platform) laggedList() platform.HostList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.lists = append(p.lists, p.snapshot(now))
-	for len(p.lists) > 1 && !p.lists[1].AsOf.After(now.Add(-p.Lag)) {
-		p.lists = p.lists[1:]
+	p.snapshots = append(p.snapshots, p.snapshot(now))
+	for len(p.snapshots) > 1 && !p.snapshots[1].AsOf.After(now.Add(-p.Lag)) {
+		p.snapshots = p.snapshots[1:]
 	}
-	return p.lists[0]
+	return p.snapshots[0]
 }
 
 func (p *Platform) snapshot(now time.Time) platform.HostList {
@@ -202,7 +202,7 @@
 
 // reboot takes an order unless it is late or of a lower term.
 func (p *Platform) reboot(w http.ResponseWriter, r *http.Request) {
-	var o platform.Order
+	var o platform.RebootOrder
 	if !decode(w, r, &o) {
 		return
 	}
@@ -214,19 +214,19 @@
 		http.Error(w, "no such host", http.StatusNotFound)
 		return
 	}
-	if time.Now().After(o.Deadline) || o.Term < p.terms[o.Host] {
+	if time.Now().After(o.Deadline) || o.Term < p.orderTerms[o.Host] {
 		http.Error(w, "late or of a lower term", http.StatusConflict)
 		return
 	}
-	if o.Term == p.terms[o.Host] {
+	if o.Term == p.orderTerms[o.Host] {
 		return
 	}
-	p.terms[o.Host] = o.Term
+	p.orderTerms[o.Host] = o.Term
 	p.reboots = append(p.reboots, o)
 	h.Live = false
 	p.hosts[o.Host] = h
 	time.AfterFunc(p.RebootTime, func() { p.boot(o.Host) })
-	go tell(h, Fault{Down: true})
+	go setTargetFault(h, Fault{Down: true})
 }
 
 func (p *Platform) boot(name string) {
@@ -236,11 +236,11 @@
 	h.Live = true
 	h.Boot++
 	p.hosts[name] = h
-	go tell(h, Fault{})
+	go setTargetFault(h, Fault{})
 }
 
-// tell switches the fault of a target.
-func tell(h platform.Host, f Fault) {
+// setTargetFault switches the fault of a target.
+func setTargetFault(h platform.Host, f Fault) {
 	b, err := json.Marshal(f)
 	if err != nil {
 		return
@@ -271,11 +271,11 @@
 func (p *Platform) listReboots(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	encode(w, p.reboots)
+	writeJSON(w, p.reboots)
 }
 
 func (p *Platform) stats(w http.ResponseWriter, _ *http.Request) {
-	encode(w, Stats{Reads: p.reads.Load(), Writes: p.writes.Load(), Watches: p.watches.Load()})
+	writeJSON(w, Stats{Reads: p.reads.Load(), Writes: p.writes.Load(), Watches: p.watches.Load()})
 }
 
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
@@ -286,7 +286,7 @@
 	return true
 }
 
-func encode(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -9,22 +9,22 @@
 	"sync/atomic"
 )
 
-// Way is which bytes of a silenced connection get lost.
-type Way int
+// Direction is which bytes of a silenced connection get lost.
+type Direction int
 
 // The ways of a Proxy.
 const (
 	// Both loses requests and answers.
-	Both Way = iota
-	// Answers passes requests on and loses answers.
-	Answers
+	Both Direction = iota
+	// AnswersOnly passes requests on and loses answers.
+	AnswersOnly
 )
 
 // Proxy passes connections on to an address. Those that are open can be silenced
 // for good, without a reset, while new ones work.
 type Proxy struct {
 	listener net.Listener
-	to       netip.AddrPort
+	upstream netip.AddrPort
 	opened   atomic.Int64
 	mu       sync.Mutex
 	links    map[*link]bool
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: l, to: to, links: map[*link]bool{}}
+	p := &Proxy{listener: l, upstream: to, links: map[*link]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -59,7 +59,7 @@
 
 // Silence loses from now on what the open connections carry, and returns how many
 // those are.
-func (p *Proxy) Silence(w Way) int {
+func (p *Proxy) Silence(w Direction) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -85,7 +85,7 @@
 		if err != nil {
 			return
 		}
-		s, err := net.Dial("tcp", p.to.String())
+		s, err := net.Dial("tcp", p.upstream.String())
 		if err != nil {
 			_ = c.Close()
 			continue
@@ -95,14 +95,14 @@
 		p.mu.Lock()
 		p.links[l] = true
 		p.mu.Unlock()
-		go p.pass(l, c, s, &l.silent[0])
-		go p.pass(l, s, c, &l.silent[1])
+		go p.forward(l, c, s, &l.silent[0])
+		go p.forward(l, s, c, &l.silent[1])
 	}
 }
 
-// pass copies bytes, or loses them while the link is silent. The end of one side
+// forward copies bytes, or loses them while the link is silent. The end of one side
 // ends the other, but for a silent link, where it is lost too.
-func (p *Proxy) pass(l *link, from, to net.Conn, silent *atomic.Bool) {
+func (p *Proxy) forward(l *link, from, to net.Conn, silent *atomic.Bool) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
