--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -16,22 +16,22 @@
 
 // Headers by which a caller tells a target what to do.
 const (
-	// HeaderRun is how long the run takes, as a Go duration.
-	HeaderRun = "Standin-Run"
-	// HeaderSize is how many bytes of padding the answer gets.
-	HeaderSize = "Standin-Size"
+	// HeaderRunTime is how long the run takes, as a Go duration.
+	HeaderRunTime = "Standin-Run"
+	// HeaderPadding is how many bytes of padding the answer gets.
+	HeaderPadding = "Standin-Size"
 )
 
-// Runs is what a target has run.
-type Runs struct {
+// RunStats is what a target has run.
+type RunStats struct {
 	// ByID counts the runs of each request id.
 	ByID map[string]int `json:"by_id"`
-	// Most is the highest number of runs at one moment.
-	Most int `json:"most"`
-	// Over counts runs that began with all slots taken.
-	Over int `json:"over"`
-	// Last is when the last run began.
-	Last time.Time `json:"last"`
+	// MaxConcurrent is the highest number of runs at one moment.
+	MaxConcurrent int `json:"most"`
+	// OverLimit counts runs that began with all slots taken.
+	OverLimit int `json:"over"`
+	// LastStart is when the last run began.
+	LastStart time.Time `json:"last"`
 }
 
 // Target takes the place of a worker that runs requests.
@@ -43,7 +43,7 @@
 
 	mu     sync.Mutex
 	active int
-	runs   Runs
+	runs   RunStats
 }
 
 // NewTarget returns a target with a number of slots and a usual run time.
@@ -53,7 +53,7 @@
 		Slots:   slots,
 		RunTime: run,
 		Faults:  NewFaults(),
-		runs:    Runs{ByID: map[string]int{}},
+		runs:    RunStats{ByID: map[string]int{}},
 	}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Runs returns what the target has run so far.
-func (t *Target) Runs() Runs {
+func (t *Target) Runs() RunStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.runs
@@ -79,7 +79,7 @@
 }
 
 func (t *Target) listRuns(w http.ResponseWriter, _ *http.Request) {
-	encode(w, t.Runs())
+	writeJSON(w, t.Runs())
 }
 
 func (t *Target) run(w http.ResponseWriter, r *http.Request) {
@@ -88,31 +88,31 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	id := r.Header.Get(common.HeaderID)
+	id := r.Header.Get(common.HeaderRequestID)
 	t.begin(id)
 	defer t.end()
 	if f.Hang {
 		<-r.Context().Done()
 		return
 	}
-	if f.Fail || (f.FailJob != "" && strings.HasPrefix(r.URL.Path, f.FailJob)) {
+	if f.FailAll || (f.FailPrefix != "" && strings.HasPrefix(r.URL.Path, f.FailPrefix)) {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
 	time.Sleep(t.runTime(r))
-	t.answer(w, r, id, b, f.Half)
+	t.answer(w, r, id, b, f.TruncateAnswers)
 }
 
 func (t *Target) begin(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.active >= t.Slots {
-		t.runs.Over++
+		t.runs.OverLimit++
 	}
 	t.active++
-	t.runs.Most = max(t.runs.Most, t.active)
+	t.runs.MaxConcurrent = max(t.runs.MaxConcurrent, t.active)
 	t.runs.ByID[id]++
-	t.runs.Last = time.Now()
+	t.runs.LastStart = time.Now()
 }
 
 func (t *Target) end() {
@@ -122,7 +122,7 @@
 }
 
 func (t *Target) runTime(r *http.Request) time.Duration {
-	if d, err := time.ParseDuration(r.Header.Get(HeaderRun)); err == nil {
+	if d, err := time.ParseDuration(r.Header.Get(HeaderRunTime)); err == nil {
 		return d
 	}
 	return t.RunTime
@@ -130,9 +130,9 @@
 
 // answer sends what Expect tells the caller to wait for.
 func (t *Target) answer(w http.ResponseWriter, r *http.Request, id string, b []byte, half bool) {
-	n, _ := strconv.Atoi(r.Header.Get(HeaderSize))
-	out := Expect(r.URL.Path, b, n)
-	w.Header().Set(common.HeaderID, id)
+	n, _ := strconv.Atoi(r.Header.Get(HeaderPadding))
+	out := ExpectedAnswer(r.URL.Path, b, n)
+	w.Header().Set(common.HeaderRequestID, id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 	if !half {
 		_, _ = io.WriteString(w, out)
@@ -143,7 +143,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Expect returns the whole answer to a body at a path, with padding bytes.
-func Expect(path string, body []byte, padding int) string {
+// ExpectedAnswer returns the whole answer to a body at a path, with padding bytes.
+func ExpectedAnswer(path string, body []byte, padding int) string {
 	return fmt.Sprintf("%s %016x %s", path, xxhash.Sum64(body), strings.Repeat("x", padding))
 }
--- a/job/advice.go
+++ b/job/advice.go
@@ -33,7 +33,7 @@
 	Step    string
 	Workers []platform.WorkerID
 	// Terms say how long the service takes to answer.
-	Terms platform.AdviceTerms
+	Terms platform.AdviceTimes
 	Key   taskKey
 }
 
@@ -86,7 +86,7 @@
 		return
 	}
 	a.pending = true
-	l = l[:min(len(l), platform.MaxAdvised)]
+	l = l[:min(len(l), platform.MaxAdviceWorkers)]
 	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Terms: *s.instance.job.queue.Advice, Key: s.tasks[0].key()})
 }
 
--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -160,7 +160,7 @@
 	require.Len(t, f.stops(), 1)
 	delete(at, "w2")
 	f.passReady(at, pollFreshFor)
-	f.step(StopResult{Worker: "w1", Run: w1.Order.Run, Task: w1.Order.Task, Err: common.ErrUnknown})
+	f.step(StopResult{Worker: "w1", Run: w1.Order.Run, Task: w1.Order.Task, Err: common.ErrUnknownOutcome})
 	f.passReady(at, time.Second)
 	require.Len(t, f.stops(), 1, "it is ready, and the task on w2 may be unavailable")
 	require.Len(t, f.logged("stop withdrawn"), 1)
--- a/job/caller_handler.go
+++ b/job/caller_handler.go
@@ -55,7 +55,7 @@
 		h.deny(w, r, e)
 		return
 	}
-	deadline, given := platform.Patience(r.Header, now)
+	deadline, given := platform.CallerDeadline(r.Header, now)
 	if !given {
 		deadline = now.Add(defaultTimeout)
 	}
@@ -124,7 +124,7 @@
 func (h callerHandler) deny(w http.ResponseWriter, r *http.Request, e access) {
 	n := h.node
 	n.metrics.intake.Add(r.Context(), 1, label("verdict", "turned-away"))
-	key, given := platform.Key(r.Header)
+	key, given := platform.CallerKey(r.Header)
 	fields := []any{"method", r.Method, "version", n.routes.Load().config.Version, "age_ms", n.now().Sub(n.configCurrentAt.Get()).Milliseconds()}
 	if given {
 		fields = append(fields, "key_hash", key.String())
--- a/job/cancel_test.go
+++ b/job/cancel_test.go
@@ -169,7 +169,7 @@
 	lastClock := f.clock
 	f.pass(time.Minute)
 	f.submit(idA, "quick", oneTask())
-	u := f.starts()[0].Order.Until
+	u := f.starts()[0].Order.LeaseUntil
 	slow := lastClock + platform.WorkerClock(0.98*float64(f.clock-lastClock))
 	most := inheritedLease - ownerAuthority
 	require.LessOrEqual(t, time.Duration(float64(u-slow)/0.98)*time.Millisecond, most)
--- a/job/core.go
+++ b/job/core.go
@@ -14,7 +14,7 @@
 	// lastRun is the number of the last run started. Run numbers are above those of all
 	// earlier owners, whose fences are lower.
 	lastRun int64
-	config  *platform.Deployed
+	config  *platform.Config
 	queues  map[string]platform.Queue
 	teams   *teams
 	jobs    map[ID]*job
@@ -62,7 +62,7 @@
 		now:           now,
 		fence:         f,
 		lastRun:       int64(f) * runsPerFence,
-		config:        &platform.Deployed{},
+		config:        &platform.Config{},
 		queues:        map[string]platform.Queue{},
 		teams:         newTeams(),
 		jobs:          map[ID]*job{},
@@ -258,7 +258,7 @@
 }
 
 // finalise sets the final state of a job and stops its runs.
-func (c *Core) finalise(j *job, s platform.State, why string) {
+func (c *Core) finalise(j *job, s platform.JobState, why string) {
 	j.state = s
 	j.finalAt = c.now
 	delete(c.active, j.id)
--- a/job/core_test.go
+++ b/job/core_test.go
@@ -77,14 +77,14 @@
 	return f
 }
 
-func testConfig() *platform.Deployed {
-	return &platform.Deployed{
+func testConfig() *platform.Config {
+	return &platform.Config{
 		Version: 1,
 		Queues: []platform.Queue{
 			{Name: "quick", Host: "h", Prefix: "/q/", Service: "blue", Attempts: 2, Stretch: 1.5, Goal: time.Second},
 			{Name: "patient", Host: "h", Prefix: "/p/", Service: "blue", Priority: 1, Attempts: 3, Stretch: 2, Goal: time.Second},
 		},
-		Services: []platform.Service{{Name: "blue", Guards: true}, {Name: "green", Guards: true}, {Name: "spare", Spare: true}},
+		Services: []platform.Service{{Name: "blue", RejectsOverload: true}, {Name: "green", RejectsOverload: true}, {Name: "spare", Spare: true}},
 	}
 }
 
@@ -145,7 +145,7 @@
 	require.True(f.t, ok, "no poll of %s is pending", id)
 	delete(f.polls, platform.WorkerID(id))
 	l.Clock = f.clock
-	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Acked: a.Order.LastSeen, Poll: l})
+	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Acked: a.Order.LastAcked, Poll: l})
 }
 
 func (f *fixture) fail(id string, err error) {
@@ -190,7 +190,7 @@
 }
 
 // state returns the state of the job idA after a tick, in which due writes are made.
-func (f *fixture) state() platform.State {
+func (f *fixture) state() platform.JobState {
 	f.pass(tickEvery)
 	s, ok := f.core.StateOf(idA)
 	require.True(f.t, ok)
@@ -246,13 +246,13 @@
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	f.pass(pollWait + 200*time.Millisecond)
 	if a, ok := f.polls["w1"]; ok {
-		require.Zero(t, a.Order.LastSeen)
+		require.Zero(t, a.Order.LastAcked)
 		f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	}
 	f.holdWrites = false
 	f.step(WriteResult{Number: f.core.writeNumber})
 	f.pass(time.Second)
-	require.EqualValues(t, 1, f.polls["w1"].Order.LastSeen)
+	require.EqualValues(t, 1, f.polls["w1"].Order.LastAcked)
 }
 
 func TestUnansweredStartIsStoppedBeforeTheTaskRunsElsewhere(t *testing.T) {
@@ -305,7 +305,7 @@
 		require.Less(t, f.now.Sub(begun), 2*leaseFor, "the run is never given up")
 		f.pass(tickEvery)
 		if _, ok := f.polls["w1"]; ok {
-			require.Zero(t, f.polls["w1"].Order.Until, "a poll of a silent worker extends its lease")
+			require.Zero(t, f.polls["w1"].Order.LeaseUntil, "a poll of a silent worker extends its lease")
 			f.fail("w1", platform.ErrUnknown)
 		}
 	}
@@ -322,11 +322,11 @@
 	f.acceptStart(s)
 	f.join("w2")
 	f.passWithoutStore(time.Second)
-	f.fail("w1", common.ErrUnknown)
+	f.fail("w1", common.ErrUnknownOutcome)
 	for range 80 {
 		f.passWithoutStore(100 * time.Millisecond)
 		if _, ok := f.polls["w1"]; ok {
-			f.fail("w1", common.ErrUnknown)
+			f.fail("w1", common.ErrUnknownOutcome)
 		}
 	}
 	require.Empty(t, f.starts(), "the next owner may have the task running on w1")
@@ -345,7 +345,7 @@
 	f.join("w2")
 	f.clock = 500
 	f.step(PollResult{Worker: "w1", SentAt: f.now, Poll: platform.PollReply{Clock: f.clock}})
-	f.fail("w1", common.ErrUnknown)
+	f.fail("w1", common.ErrUnknownOutcome)
 	f.pass(time.Second)
 	require.Empty(t, f.starts(), "its lease lasts four seconds")
 }
@@ -435,7 +435,7 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Rejection: platform.RejectedFence})
+	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Rejection: platform.RejectedFenced})
 	require.Contains(t, f.out, Action(StepDown{Why: "a worker has seen a higher fence"}))
 }
 
@@ -674,7 +674,7 @@
 	for range 5 {
 		f.pass(300 * time.Millisecond)
 		if a, ok := f.polls["w1"]; ok {
-			require.Zero(t, a.Order.LastSeen)
+			require.Zero(t, a.Order.LastAcked)
 			f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 		}
 	}
@@ -683,7 +683,7 @@
 	require.Equal(t, platform.StateSucceeded, f.state())
 	f.pass(2 * time.Second)
 	if a, ok := f.polls["w1"]; ok {
-		require.Zero(t, a.Order.LastSeen)
+		require.Zero(t, a.Order.LastAcked)
 	}
 	require.False(t, f.core.workers["w1"].acceptsStarts(f.now))
 }
--- a/job/demand.go
+++ b/job/demand.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		t := s.instance.job.team
-		r = r.Plus(workerDemand(s.Step), t.limitToCap(t.usage(), s.Resources, int64(s.idle)))
+		r = r.AddTimes(workerDemand(s.Step), t.limitToCap(t.usage(), s.Resources, int64(s.idle)))
 	}
 	c.balance.unplaced[service] = r
 }
--- a/job/elect.go
+++ b/job/elect.go
@@ -248,8 +248,8 @@
 		return tenure{}, err
 	}
 	at, _, err := e.kv.Commit(ctx, platform.Txn{
-		Guards: []platform.Guard{{Key: ownerKey}},
-		Puts:   []platform.Put{{Key: ownerKey, Value: b, Lease: lease}},
+		Conditions: []platform.Condition{{Key: ownerKey}},
+		Puts:       []platform.Put{{Key: ownerKey, Value: b, Lease: lease}},
 	})
 	if err != nil {
 		e.log.Write(LogLine{What: "claim failed", Why: err.Error()})
--- a/job/events.go
+++ b/job/events.go
@@ -25,7 +25,7 @@
 
 // ConfigChanged reports a configuration that is in force.
 type ConfigChanged struct {
-	Config *platform.Deployed
+	Config *platform.Config
 }
 
 // WorkerListed reports that the store holds a worker's record.
--- a/job/explain.go
+++ b/job/explain.go
@@ -75,8 +75,8 @@
 // Explanation describes the state of one job, and what it waits for.
 type Explanation struct {
 	ID      ID                `json:"id"`
-	State   platform.State    `json:"state"`
-	Kept    platform.State    `json:"kept"`
+	State   platform.JobState `json:"state"`
+	Kept    platform.JobState `json:"kept"`
 	Queue   string            `json:"queue"`
 	Service string            `json:"service"`
 	Team    string            `json:"team,omitempty"`
--- a/job/follow_test.go
+++ b/job/follow_test.go
@@ -58,7 +58,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	s.SetFault(fleet.Fault{Delay: answer})
+	s.SetFault(fleet.StoreFault{Delay: answer})
 	go f.run(ctx)
 	require.Eventually(t, func() bool { n, _ := got.count(); return n > 0 }, time.Second, time.Millisecond)
 	for v := range versions {
@@ -85,7 +85,7 @@
 	defer cancel()
 	go f.run(ctx)
 	<-lists
-	s.SetFault(fleet.Fault{Delay: 100 * time.Millisecond})
+	s.SetFault(fleet.StoreFault{Delay: 100 * time.Millisecond})
 	for range 3 {
 		select {
 		case <-lists:
--- a/job/incarnation.go
+++ b/job/incarnation.go
@@ -141,7 +141,7 @@
 // answeredBy returns the worker that answered a request to w: w itself, or a later incarnation
 // if it has restarted since. It returns false if the answer is of an incarnation that was
 // already replaced, and so proves nothing.
-func (c *Core) answeredBy(w *worker, o platform.Origin) (*worker, bool) {
+func (c *Core) answeredBy(w *worker, o platform.ReportedStart) (*worker, bool) {
 	if !differ(w.ID.Incarnation(), o.Incarnation) {
 		return w, true
 	}
@@ -163,10 +163,10 @@
 
 // checkAnswerer reports whether an answer is of the worker that was asked. A later incarnation
 // is polled on its own, as the request was not meant for it.
-func (c *Core) checkAnswerer(w *worker, o platform.Origin) bool {
-	if o.Invalid != "" && !w.invalidStartLogged {
+func (c *Core) checkAnswerer(w *worker, o platform.ReportedStart) bool {
+	if o.InvalidReason != "" && !w.invalidStartLogged {
 		w.invalidStartLogged = true
-		c.logInvalidStart(w.ID, o.Invalid)
+		c.logInvalidStart(w.ID, o.InvalidReason)
 	}
 	by, ok := c.answeredBy(w, o)
 	switch {
--- a/job/incarnation_test.go
+++ b/job/incarnation_test.go
@@ -99,7 +99,7 @@
 	require.Len(t, next, 1)
 	f.step(StartResult{Worker: firstIncarnation, Run: next[0].Order.Run, Task: next[0].Order.Task, Err: platform.ErrUnknown})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	require.Zero(t, f.polls[secondIncarnation].Order.LastSeen, "it has reported no end yet")
+	require.Zero(t, f.polls[secondIncarnation].Order.LastAcked, "it has reported no end yet")
 	f.pass(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, next[0], platform.EndDone)}})
 	f.pass(200 * time.Millisecond)
@@ -120,7 +120,7 @@
 	require.EqualValues(t, 1, f.core.workers[firstIncarnation].lastEndStored)
 	f.fail(firstIncarnation, platform.ErrUnknown)
 	f.pass(2 * pollRetry)
-	require.Zero(t, f.polls[firstIncarnation].Order.LastSeen)
+	require.Zero(t, f.polls[firstIncarnation].Order.LastAcked)
 }
 
 func TestUnansweredStartIsSettledAtNextIncarnation(t *testing.T) {
@@ -174,11 +174,11 @@
 	f := newRestartFixture(t, "w2")
 	f.listed()
 	w := onHost("w1")
-	w.InvalidStart = "start \"soon\" is no whole number"
+	w.InvalidStartReason = "start \"soon\" is no whole number"
 	f.step(WorkerListed{Worker: w})
 	for range 3 {
 		f.pass(pollWait)
-		f.answer(firstIncarnation, platform.PollReply{Origin: platform.Origin{Invalid: "start -1 is no time"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
+		f.answer(firstIncarnation, platform.PollReply{ReportedStart: platform.ReportedStart{InvalidReason: "start -1 is no time"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
 	}
 	require.Empty(t, f.starts())
 	require.Equal(t, 2, f.countLogged("worker start time invalid"), "once by its record, once by its answers")
@@ -250,7 +250,7 @@
 	l := f.starts()
 	require.NotEmpty(t, l)
 	require.EqualValues(t, secondIncarnation, l[0].Worker.ID)
-	require.Less(t, int64(l[0].Order.Until), 20+200+leaseFor.Milliseconds()+100)
+	require.Less(t, int64(l[0].Order.LeaseUntil), 20+200+leaseFor.Milliseconds()+100)
 }
 
 // An earlier owner's start may be carried out by the next incarnation, which knows no fence
@@ -294,7 +294,7 @@
 	f.pass(tickEvery)
 	f.core.recordOrder(f.core.machinesByName[m.Name], &machineOrder{pool: "green"})
 	f.pass(tickEvery)
-	f.step(MachineOrderResult{Machine: m.Name, Verdict: platform.OrderTaken})
+	f.step(MachineOrderResult{Machine: m.Name, Verdict: platform.OrderAccepted})
 	f.pass(2 * time.Second)
 	f.listMachines(m)
 	f.submit(idA, "quick", oneTask())
--- a/job/intake.go
+++ b/job/intake.go
@@ -142,7 +142,7 @@
 func intakeTxn(l []*pendingJob) platform.Txn {
 	var t platform.Txn
 	for _, a := range l {
-		t.Guards = append(t.Guards, platform.Guard{Key: recordKey(a.id)}, platform.Guard{Key: progressKey(a.id)})
+		t.Conditions = append(t.Conditions, platform.Condition{Key: recordKey(a.id)}, platform.Condition{Key: progressKey(a.id)})
 		t.Puts = append(t.Puts, platform.Put{Key: recordKey(a.id), Value: a.value})
 	}
 	return t
--- a/job/keys.go
+++ b/job/keys.go
@@ -61,7 +61,7 @@
 // authorize returns the team of a caller of the queue, or the zero team, and whether the
 // caller has access. currentAt is when the routes were last known to be current.
 func (a authorizer) authorize(r *routes, q platform.Queue, h http.Header, currentAt, now time.Time) (platform.Team, access) {
-	key, given := platform.Key(h)
+	key, given := platform.CallerKey(h)
 	team, known := r.keys[key]
 	age := now.Sub(currentAt)
 	switch {
--- a/job/keys_test.go
+++ b/job/keys_test.go
@@ -24,7 +24,7 @@
 )
 
 // keyedConfig returns testConfig with teams and a public queue.
-func keyedConfig(version int64) *platform.Deployed {
+func keyedConfig(version int64) *platform.Config {
 	d := testConfig()
 	d.Version = version
 	d.Queues = append(d.Queues, platform.Queue{Name: "open", Host: "h", Prefix: "/o/", Service: "blue", Public: true})
@@ -136,7 +136,7 @@
 		Pools:   []string{"blue"},
 		Queues:  []fleet.Queue{{Name: "quick", Pool: "blue"}},
 		Teams:   []fleet.Team{{Name: "paint", Keys: keys, Weight: 1}},
-	}.Row("spare")))
+	}.Document("spare")))
 }
 
 // isolatedHost is an entry host that the store refuses to serve, beside an owner that it
@@ -213,7 +213,7 @@
 
 // Keys appear in log lines as short hashes only.
 func TestKeysAreNotLogged(t *testing.T) {
-	key, given := platform.Key(http.Header{"Authorization": {"bearer  " + unknown}})
+	key, given := platform.CallerKey(http.Header{"Authorization": {"bearer  " + unknown}})
 	require.True(t, given)
 	b, err := json.Marshal([]any{key.String(), fmt.Sprint(key), fmt.Sprintf("%v", platform.Team{Keys: []platform.KeyHash{key}})})
 	require.NoError(t, err)
--- a/job/lasting_log_test.go
+++ b/job/lasting_log_test.go
@@ -89,7 +89,7 @@
 	deferred := f.logged("stop deferred")
 	require.Len(t, deferred, 1, "logged once")
 	require.Equal(t, []int{at["w1"].index()}, deferred[0].field("away_tasks"))
-	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknown})
+	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknownOutcome})
 	require.Len(t, f.logged("stop not answered"), 1)
 	f.passReady(at, time.Second)
 	resent := f.logged("stop sent again")
--- a/job/listing.go
+++ b/job/listing.go
@@ -24,7 +24,7 @@
 // apply adds a worker, or updates it from its record.
 func (e WorkerListed) apply(c *Core) {
 	v := e.Worker
-	c.logInvalidStart(v.ID, v.InvalidStart)
+	c.logInvalidStart(v.ID, v.InvalidStartReason)
 	v.ID = c.resolveID(v.ID)
 	if c.wasReplaced(v) {
 		return
--- a/job/load.go
+++ b/job/load.go
@@ -28,7 +28,7 @@
 
 // loadWithRetry retries load for as long as the ownership lasts. Giving up would not help:
 // the next owner would find the store just as slow.
-func (o *owner) loadWithRetry(ctx context.Context, config *platform.Deployed) (Inherited, listRevisions, error) {
+func (o *owner) loadWithRetry(ctx context.Context, config *platform.Config) (Inherited, listRevisions, error) {
 	for {
 		e, from, err := o.load(ctx, config)
 		if err == nil || errors.Is(err, errDeposed) || ctx.Err() != nil || o.sinceRenewal() > ownerTTL {
@@ -43,7 +43,7 @@
 // is either written by owners only, and the store rejects writes of earlier owners by now,
 // or watched from the revision of its list on. Read one after the other, they took 2.4 s
 // from a slow store.
-func (o *owner) load(ctx context.Context, config *platform.Deployed) (Inherited, listRevisions, error) {
+func (o *owner) load(ctx context.Context, config *platform.Config) (Inherited, listRevisions, error) {
 	e := Inherited{Config: config, Progress: map[ID]Progress{}, WavesEnded: map[int64]bool{}, WavesBegan: map[int64][]string{}}
 	var from listRevisions
 	g, gctx := errgroup.WithContext(ctx)
--- a/job/machine_late_test.go
+++ b/job/machine_late_test.go
@@ -19,10 +19,10 @@
 
 func (m *fencedMachine) move(o MoveMachine) platform.MachineVerdict {
 	if o.Holder.Fence < m.fence {
-		return platform.OrderFence
+		return platform.OrderFenced
 	}
 	m.fence, m.pool = o.Holder.Fence, o.Pool
-	return platform.OrderTaken
+	return platform.OrderAccepted
 }
 
 // lastMove returns the newest move that was sent.
@@ -47,7 +47,7 @@
 	f.core.orderMove(f.core.machinesByName[host.Name], "blue", &demand{})
 	f.pass(tickEvery)
 	delayed := f.lastMove()
-	f.step(MachineOrderResult{Machine: host.Name, Err: common.ErrUnknown})
+	f.step(MachineOrderResult{Machine: host.Name, Err: common.ErrUnknownOutcome})
 	f.pass(orderRetry + tickEvery)
 	require.Len(t, f.moves(), 2, "an unanswered move is repeated")
 	require.Equal(t, delayed, f.lastMove(), "as the same order")
@@ -57,8 +57,8 @@
 
 	f.core.orderMove(f.core.machinesByName[host.Name], "green", &demand{})
 	f.pass(tickEvery)
-	require.Equal(t, platform.OrderTaken, m.move(f.lastMove()))
-	require.Equal(t, platform.OrderFence, m.move(delayed))
+	require.Equal(t, platform.OrderAccepted, m.move(f.lastMove()))
+	require.Equal(t, platform.OrderFenced, m.move(delayed))
 	require.Equal(t, "green", m.pool)
 }
 
--- a/job/machine_orders.go
+++ b/job/machine_orders.go
@@ -38,7 +38,7 @@
 	c.relistSoon()
 	c.emit(LogLine{What: "machine ordered", Why: string(e.Verdict) + errorText(e.Err), Fields: []any{"machine", e.Machine, "pool", o.pool, "wave", o.wave.name()}})
 	switch {
-	case e.Err == nil && e.Verdict == platform.OrderTaken:
+	case e.Err == nil && e.Verdict == platform.OrderAccepted:
 		o.acceptedAt = c.now
 		if o.wave != nil {
 			c.noteWaveBegan(o.wave, m.Name)
@@ -46,9 +46,9 @@
 	case errors.Is(e.Err, platform.ErrUnknown):
 		// It may still be carried out. Sending the same order again is idempotent.
 		o.resendAt = c.now.Add(orderRetry)
-	case e.Verdict == platform.OrderFence:
+	case e.Verdict == platform.OrderFenced:
 		c.emit(StepDown{Why: "a machine has seen a higher fence"})
-	case e.Verdict == platform.OrderWave:
+	case e.Verdict == platform.OrderNotInWave:
 		o.wave.drop(m.Name)
 		c.clearOrder(m)
 	default:
--- a/job/machines_test.go
+++ b/job/machines_test.go
@@ -47,7 +47,7 @@
 	f.join("w1", "w2", "w3")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue"), machineOf("w3", "blue")}
 	f.listMachines(up...)
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	f.pass(time.Second)
 	l := f.maintenanceOrders()
 	require.Len(t, l, 1)
@@ -69,7 +69,7 @@
 	f := newFixture(t)
 	f.step(WorkerListed{Worker: testWorker("w1")})
 	f.listMachines(machineOf("w1", "blue"))
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	f.pass(handoverPause + time.Second)
 	require.Empty(t, f.maintenanceOrders())
 	f.answer("w1", platform.PollReply{})
@@ -88,7 +88,7 @@
 	l := f.starts()
 	f.acceptStart(l[0])
 	f.step(WorkerUnlisted{Name: "w1"})
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	for range 40 {
 		f.pass(100 * time.Millisecond)
 		if _, ok := f.polls["w1"]; ok {
@@ -183,7 +183,7 @@
 	f.submit(idB, "quick", oneTask())
 	busy := f.starts()[0]
 	f.acceptStart(busy)
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{busy.Worker.Host}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{busy.Worker.Host}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	f.pass(tickEvery)
 	s := oneTask()
 	s.Lasting = true
@@ -262,7 +262,7 @@
 	f := newFixture(t)
 	r := lastingOn(f)
 	f.passWhileReady(r, time.Second)
-	f.fail("w1", common.ErrUnknown)
+	f.fail("w1", common.ErrUnknownOutcome)
 	f.pass(listAfterSilence + tickEvery)
 	require.Contains(t, f.out, Action(ListMachines{}))
 	m := machineOf("w1", "blue")
@@ -346,7 +346,7 @@
 	f.answer("w1", platform.PollReply{})
 	f.answer("w2", platform.PollReply{})
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1", "host-of-w2"}, Within: 20 * time.Second, Cap: 2}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1", "host-of-w2"}, TimeLimit: 20 * time.Second, MaxDown: 2}})
 	f.pass(handoverPause - 200*time.Millisecond)
 	for _, m := range f.maintenanceOrders() {
 		require.Equal(t, "host-of-w2", m.Machine)
@@ -363,7 +363,7 @@
 	f.pass(firstOrderDelay + tickEvery)
 	f.out = nil
 	f.holdWrites = true
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	f.pass(300 * time.Millisecond)
 	require.Empty(t, f.maintenanceOrders())
 	f.holdWrites = false
@@ -447,8 +447,8 @@
 	f.join("w1", "w2")
 	f.submit(idA, "quick", oneTask())
 	s := f.starts()[0]
-	f.step(StartResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: common.ErrUnknown})
-	f.fail(string(s.Worker.ID), common.ErrUnknown)
+	f.step(StartResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: common.ErrUnknownOutcome})
+	f.fail(string(s.Worker.ID), common.ErrUnknownOutcome)
 	before := machineOf(string(s.Worker.ID), "blue")
 	before.Worker = "an earlier incarnation"
 	f.step(MachineList{SentAt: requestedAt, Machines: []platform.Machine{before}})
--- a/job/node.go
+++ b/job/node.go
@@ -73,12 +73,12 @@
 	}
 	n := &Node{Clients: p, settings: s, log: log, now: now, peers: newPeers(), configMissed: make(chan struct{}, 1), refusals: newRefusals()}
 	n.authorizer = authorizer{required: s.KeysWithin > 0, keysWithin: s.KeysWithin, newKeysWithin: s.ConfigWithin}
-	n.election = newElection(p.KV, Owner{Name: s.Name, Peer: s.Peer}, s.Size, log, now, d.Suspended)
+	n.election = newElection(p.KV, Owner{Name: s.Name, Peer: s.Peer}, s.Size, log, now, d.SuspendedFor)
 	n.intake = newIntake(p.KV, log, now)
 	n.speed = newSpeedMonitor(now)
 	n.metricsHandler = metricsHandler
-	conns := append(p.connections(), n.peers.exchange.Connections())
-	common.Join(conns...)
+	conns := append(p.connections(), n.peers.client.Connections())
+	common.JoinConnections(conns...)
 	if err := observeTraffic(d.Meter, conns); err != nil {
 		return nil, err
 	}
@@ -244,7 +244,7 @@
 	n.owner, n.resign = o, cancel
 	n.mu.Unlock()
 	n.metrics.takeovers.Add(ctx, 1)
-	var d *platform.Deployed
+	var d *platform.Config
 	if r := n.routes.Load(); r != nil {
 		d = r.config
 	}
--- a/job/node_test.go
+++ b/job/node_test.go
@@ -12,7 +12,7 @@
 )
 
 func newTestNode(t *testing.T, s storeFixture) *Node {
-	n, err := NewNode(Settings{Name: "entry", Size: Size{Cores: 1}}, Clients{KV: s.kv}, nil, common.Quiet(), http.NotFoundHandler())
+	n, err := NewNode(Settings{Name: "entry", Size: Size{Cores: 1}}, Clients{KV: s.kv}, nil, common.NopDeps(), http.NotFoundHandler())
 	require.NoError(t, err)
 	return n
 }
--- a/job/orders.go
+++ b/job/orders.go
@@ -33,13 +33,13 @@
 	}
 	n := t.step.instance
 	o := platform.StartOrder{
-		Task:     t.key().String(),
-		Run:      number,
-		Spec:     n.job.Spec,
-		Until:    w.extendLease(c.now),
-		Fence:    c.fence,
-		Snapshot: t.snapshot,
-		Ticket:   ticket,
+		Task:       t.key().String(),
+		Run:        number,
+		Spec:       n.job.Spec,
+		LeaseUntil: w.extendLease(c.now),
+		Fence:      c.fence,
+		Snapshot:   t.snapshot,
+		Ticket:     ticket,
 	}
 	c.emit(LogLine{What: "start", Job: n.job.id, Task: o.Task, Run: number, Worker: w.ID, Fields: []any{"waited_ms", c.now.Sub(n.due).Milliseconds(), "used", w.used.MilliCores, "failures", len(t.failedRuns), "crashes", t.crashes.All}})
 	c.flow.startSent(len(o.Spec) + len(o.Snapshot) + len(o.Ticket))
@@ -146,7 +146,7 @@
 	case errors.Is(e.Err, platform.ErrOtherIncarnation) && w.ID == e.Worker:
 		c.removeWorker(w, "another incarnation answers at its address")
 		return
-	case e.Rejection == platform.RejectedFence:
+	case e.Rejection == platform.RejectedFenced:
 		c.emit(StepDown{Why: "a worker has seen a higher fence"})
 		return
 	case r == nil:
@@ -221,7 +221,7 @@
 	case errors.Is(e.Err, platform.ErrOtherIncarnation) && w.ID == e.Worker:
 		c.removeWorker(w, "another incarnation answers at its address")
 		return
-	case e.Err == nil && e.Rejection == platform.RejectedFence:
+	case e.Err == nil && e.Rejection == platform.RejectedFenced:
 		c.emit(StepDown{Why: "a worker has seen a higher fence"})
 		return
 	}
--- a/job/orphan.go
+++ b/job/orphan.go
@@ -38,7 +38,7 @@
 	if o.job == nil {
 		return
 	}
-	o.job.orphanUsage = o.job.orphanUsage.Plus(o.usage, n)
+	o.job.orphanUsage = o.job.orphanUsage.AddTimes(o.usage, n)
 	o.job.team.charge(o.usage, n)
 }
 
--- a/job/owner.go
+++ b/job/owner.go
@@ -120,7 +120,7 @@
 }
 
 // run acts as the owner until the ownership ends, and returns the reason for its end.
-func (o *owner) run(ctx context.Context, config *platform.Deployed) string {
+func (o *owner) run(ctx context.Context, config *platform.Config) string {
 	ctx, o.cancel = context.WithCancel(ctx)
 	defer o.cancel()
 	go o.renew(ctx)
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -37,7 +37,7 @@
 	e := newElection(s.kv, Owner{Name: name}, Size{Cores: 1}, nil, time.Now, neverSuspended)
 	n, err := e.claim(t.Context())
 	require.NoError(t, err)
-	m, err := newMetrics(common.Quiet().Meter, func() (float64, bool) { return 0, false })
+	m, err := newMetrics(common.NopDeps().Meter, func() (float64, bool) { return 0, false })
 	require.NoError(t, err)
 	return newOwner(Clients{KV: s.kv}, nil, time.Now, neverSuspended, Settings{Name: name}, n, newSpeedMonitor(time.Now), m)
 }
@@ -84,10 +84,10 @@
 	o := s.claim(t, "owner")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	s.SetFault(fleet.Fault{Mute: true})
+	s.SetFault(fleet.StoreFault{HangWatches: true})
 	go o.followJobs(ctx, platform.Revision(o.tenure.fence))
 	time.Sleep(50 * time.Millisecond)
-	s.SetFault(fleet.Fault{})
+	s.SetFault(fleet.StoreFault{})
 	s.putJob(t, idA)
 	select {
 	case e := <-o.events:
@@ -106,7 +106,7 @@
 	require.NoError(t, s.Put("op/wave/3", map[string]any{"wave": 3, "machines": []string{"m"}, "within_s": 9, "cap": 1}))
 	o := s.claim(t, "owner")
 	const answer = 100 * time.Millisecond
-	s.SetFault(fleet.Fault{Delay: answer})
+	s.SetFault(fleet.StoreFault{Delay: answer})
 	begun := time.Now()
 	e, _, err := o.load(t.Context(), nil)
 	require.NoError(t, err)
@@ -121,7 +121,7 @@
 	s.Remove(ownerKey)
 	s.claim(t, "new")
 	s.putJob(t, idB)
-	s.Forget()
+	s.Compact()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	ctx, old.cancel = context.WithCancel(ctx)
@@ -143,11 +143,11 @@
 func TestWriteWhoseAnswerWasLostIsRecognised(t *testing.T) {
 	s := newStoreFixture(t)
 	o := s.claim(t, "owner")
-	s.SetFault(fleet.Fault{Lose: true})
+	s.SetFault(fleet.StoreFault{LoseAnswers: true})
 	slow := 0
 	err := o.writer.write(t.Context(), WriteStore{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("1")}}}, func() {
 		slow++
-		s.SetFault(fleet.Fault{})
+		s.SetFault(fleet.StoreFault{})
 	})
 	require.NoError(t, err)
 	require.Equal(t, 1, slow)
--- a/job/pace.go
+++ b/job/pace.go
@@ -160,7 +160,7 @@
 	if w == nil || (e.Err == nil && e.Rejection == platform.Accepted) {
 		return
 	}
-	if e.Err == nil && e.Rejection == platform.RejectedFence {
+	if e.Err == nil && e.Rejection == platform.RejectedFenced {
 		c.emit(StepDown{Why: "a worker has seen a higher fence"})
 		return
 	}
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -78,7 +78,7 @@
 
 // losePaceReply has the last order to pace the best-effort task fail without an answer.
 func (s *sharedFixture) losePaceReply() {
-	s.step(PaceResult{Worker: "w1", Task: s.bestEffort.Order.Task, Run: s.bestEffort.Order.Run, Err: common.ErrUnknown})
+	s.step(PaceResult{Worker: "w1", Task: s.bestEffort.Order.Task, Run: s.bestEffort.Order.Run, Err: common.ErrUnknownOutcome})
 }
 
 // The order that restored the full pace was lost, and only lower paces were ordered again, so
--- a/job/peer.go
+++ b/job/peer.go
@@ -34,11 +34,11 @@
 
 // peers is the client of other entry hosts.
 type peers struct {
-	exchange common.Exchange
+	client common.HTTPClient
 }
 
 func newPeers() *peers {
-	return &peers{exchange: common.NewExchange(common.Limits{PerAddress: peerConns})}
+	return &peers{client: common.NewHTTPClient(common.Limits{MaxIdlePerAddress: peerConns})}
 }
 
 // ask sends one query to the owner, and repeats it on a new connection if a kept one is
@@ -46,18 +46,18 @@
 func (p *peers) ask(ctx context.Context, o Owner, path string) (common.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	q := common.Request{Method: http.MethodGet, At: o.Peer, Path: path}
-	return p.exchange.Repeat(ctx, q, q)
+	q := common.Request{Method: http.MethodGet, Address: o.Peer, Path: path}
+	return p.client.CallIdempotent(ctx, q, q)
 }
 
 // state asks the owner for a job's state.
-func (p *peers) state(ctx context.Context, o Owner, id ID) (platform.State, bool, error) {
+func (p *peers) state(ctx context.Context, o Owner, id ID) (platform.JobState, bool, error) {
 	r, err := p.ask(ctx, o, "/jobs/"+string(id))
 	switch {
 	case err != nil:
 		return "", false, err
 	case r.Status == http.StatusOK:
-		return platform.State(r.Body), true, nil
+		return platform.JobState(r.Body), true, nil
 	case r.Status == http.StatusNotFound:
 		return "", false, nil
 	}
@@ -80,7 +80,7 @@
 func (p *peers) accept(ctx context.Context, at netip.AddrPort, id ID, r Record) (common.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	a, err := p.exchange.Call(ctx, common.Request{Method: http.MethodPost, At: at, Path: "/jobs/" + string(id), Body: r})
+	a, err := p.client.Call(ctx, common.Request{Method: http.MethodPost, Address: at, Path: "/jobs/" + string(id), Body: r})
 	switch {
 	case errors.Is(err, common.ErrNotSent):
 		return common.NotRun, err
@@ -96,7 +96,7 @@
 func (p *peers) cancel(ctx context.Context, at netip.AddrPort, id ID) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	r, err := p.exchange.Call(ctx, common.Request{Method: http.MethodDelete, At: at, Path: "/jobs/" + string(id)})
+	r, err := p.client.Call(ctx, common.Request{Method: http.MethodDelete, Address: at, Path: "/jobs/" + string(id)})
 	switch {
 	case err != nil:
 		return false, err
--- a/job/perform.go
+++ b/job/perform.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	reply, rejection, err := o.Workers.Poll(call, a.Worker, a.Order)
 	o.metrics.countOrder("look", orderOutcome(string(rejection), err))
-	o.send(ctx, PollResult{Worker: a.Worker.ID, SentAt: sentAt, Acked: a.Order.LastSeen, Poll: reply, Rejection: rejection, Err: err})
+	o.send(ctx, PollResult{Worker: a.Worker.ID, SentAt: sentAt, Acked: a.Order.LastAcked, Poll: reply, Rejection: rejection, Err: err})
 }
 
 func (o *owner) startRun(ctx context.Context, a StartRun) {
--- a/job/poll.go
+++ b/job/poll.go
@@ -52,10 +52,10 @@
 }
 
 func (c *Core) poll(w *worker) {
-	o := platform.PollOrder{Fence: c.fence, LastSeen: w.ackableEnd()}
+	o := platform.PollOrder{Fence: c.fence, LastAcked: w.ackableEnd()}
 	if w.contacted && w.missedPolls == 0 {
 		// A silent worker's lease is not renewed, so that it expires.
-		o.Until = w.extendLease(c.now)
+		o.LeaseUntil = w.extendLease(c.now)
 	}
 	if w.contacted && w.missedPolls == 0 && w.lastEndSeen == w.lastEndStored && len(w.runs)+len(w.orphans) > 0 && !w.needsPromptPoll(c.now) {
 		o.Wait = c.pollWaitFor(w)
@@ -109,11 +109,11 @@
 		}
 		c.reconcileWorker(w)
 		return
-	case e.Rejection == platform.RejectedFence:
+	case e.Rejection == platform.RejectedFenced:
 		c.emit(StepDown{Why: "a worker has seen a higher fence"})
 		return
 	}
-	if !c.checkAnswerer(w, e.Poll.Origin) {
+	if !c.checkAnswerer(w, e.Poll.ReportedStart) {
 		return
 	}
 	if !w.pollWaits {
@@ -229,7 +229,7 @@
 // an orphan, and adopt returns nil.
 func (c *Core) adopt(w *worker, k taskKey, v platform.RunningRow) *run {
 	t := c.task(k)
-	wanted := t != nil && !t.done && (len(t.runs) == 0 || t.step.Copies)
+	wanted := t != nil && !t.done && (len(t.runs) == 0 || t.step.Speculative)
 	if !wanted {
 		id := rawRunID{task: v.Task, number: v.Run}
 		if w.orphans[id] == nil {
--- a/job/progress.go
+++ b/job/progress.go
@@ -14,7 +14,7 @@
 // Progress is what the store holds of a job beside its record: enough for another owner to
 // continue the job, and for any entry host to tell its state.
 type Progress struct {
-	State platform.State `json:"s"`
+	State platform.JobState `json:"s"`
 	// FinalAt is when the job reached its final state.
 	FinalAt time.Time `json:"t,omitzero"`
 	// Instances holds those instances of the job of which a task has ended, by number.
@@ -50,7 +50,7 @@
 			if !c.inheritedRunsKnown(j) {
 				n += s.idle
 			}
-			r.Running = r.Running.Plus(s.Resources, int64(n))
+			r.Running = r.Running.AddTimes(s.Resources, int64(n))
 		}
 	}
 	if r.Running == (platform.Resources{}) {
--- a/job/record.go
+++ b/job/record.go
@@ -92,8 +92,8 @@
 // Check returns the first fault of the job, in words for its caller.
 func (r *Record) Check() error {
 	switch {
-	case len(r.Spec) > platform.MaxSpec:
-		return fmt.Errorf("spec has %d bytes, more than %d", len(r.Spec), platform.MaxSpec)
+	case len(r.Spec) > platform.MaxSpecBytes:
+		return fmt.Errorf("spec has %d bytes, more than %d", len(r.Spec), platform.MaxSpecBytes)
 	case len(r.Steps) == 0 || len(r.Steps) > maxSteps:
 		return fmt.Errorf("%d steps, not 1 to %d", len(r.Steps), maxSteps)
 	case r.Times < 0 || r.Times > maxTimes:
--- a/job/removed_list_test.go
+++ b/job/removed_list_test.go
@@ -72,7 +72,7 @@
 	f.listMachines(machineOf("w2", "blue"))
 	f.passWhileReady(r, 3*time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
-	f.fail("w1", common.ErrUnknown)
+	f.fail("w1", common.ErrUnknownOutcome)
 	f.pass(tickEvery)
 	require.NotNil(t, f.core.workers["w1"], "it answered after both lists, and missed only one poll since")
 }
@@ -85,7 +85,7 @@
 	f.passWithoutStore(time.Second)
 	f.step(WorkerList{testWorker("w2")})
 	f.out = nil
-	f.fail("w1", common.ErrUnknown)
+	f.fail("w1", common.ErrUnknownOutcome)
 	for range 2 {
 		f.passWithoutStore(listEvery)
 		f.listMachines(machineOf("w2", "blue"))
@@ -114,7 +114,7 @@
 	f.answer("w2", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 	f.join("w3")
 	f.pass(200 * time.Millisecond)
-	f.fail("w2", common.ErrUnknown)
+	f.fail("w2", common.ErrUnknownOutcome)
 	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
 	f.pass(tickEvery)
 	require.Empty(t, f.starts(), "w2 lives: it answered after the list was requested")
@@ -125,7 +125,7 @@
 	f := newFixture(t)
 	f.step(Inherited{
 		Config: testConfig(), Workers: []platform.Worker{testWorker("w1"), testWorker("w2")},
-		Waves: []platform.Wave{{Number: 4, Machines: []string{"host-of-w2"}, Within: 20 * time.Second, Cap: 1}},
+		Waves: []platform.Wave{{Number: 4, Machines: []string{"host-of-w2"}, TimeLimit: 20 * time.Second, MaxDown: 1}},
 	})
 	f.answer("w1", platform.PollReply{})
 	f.answer("w2", platform.PollReply{})
@@ -171,7 +171,7 @@
 	sent := f.now
 	f.pass(tickEvery)
 	f.step(WorkerListed{Worker: testWorker("w3")})
-	f.fail("w3", common.ErrUnknown)
+	f.fail("w3", common.ErrUnknownOutcome)
 	f.step(MachineList{SentAt: sent, Machines: up})
 	require.False(t, f.core.listAt.After(f.now.Add(listAfterSilence)))
 }
--- a/job/removed_test.go
+++ b/job/removed_test.go
@@ -143,7 +143,7 @@
 	f.join("w1", "w2", "w3")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue"), machineOf("w3", "blue")}
 	f.listMachines(up...)
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	f.pass(time.Second)
 	first := f.maintenanceOrders()[0].Machine
 	f.step(MachineOrderResult{Machine: first})
@@ -177,10 +177,10 @@
 	f.listMachines(up...)
 	f.step(WorkerUnlisted{Name: "w1"})
 	began := f.now
-	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name}, Within: 20 * time.Second, Cap: 1}})
+	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	for f.now.Sub(began) < 20*time.Second && len(f.maintenanceOrders()) == 0 {
 		if _, ok := f.polls["w1"]; ok && f.core.workers["w1"] != nil {
-			f.fail("w1", common.ErrUnknown)
+			f.fail("w1", common.ErrUnknownOutcome)
 		}
 		f.pass(tickEvery)
 		if f.core.listing {
--- a/job/route.go
+++ b/job/route.go
@@ -10,7 +10,7 @@
 // routes maps requests to queues and keys to teams, according to one version of the
 // configuration.
 type routes struct {
-	config *platform.Deployed
+	config *platform.Config
 	// raw is the configuration as the operator wrote it. Other entry hosts get it in
 	// this form.
 	raw    []byte
@@ -18,7 +18,7 @@
 	keys   keyIndex
 }
 
-func newRoutes(d *platform.Deployed) *routes {
+func newRoutes(d *platform.Config) *routes {
 	r := &routes{config: d, byHost: map[string][]platform.Queue{}, keys: newKeyIndex(d.Teams)}
 	for _, q := range d.Queues {
 		h := strings.ToLower(q.Host)
--- a/job/serve.go
+++ b/job/serve.go
@@ -11,7 +11,7 @@
 
 // localState returns the state of a job and whether the job is known. The last result is
 // false unless the owner runs on this host and has loaded all jobs.
-func (n *Node) localState(id ID) (platform.State, bool, bool) {
+func (n *Node) localState(id ID) (platform.JobState, bool, bool) {
 	o := n.localOwner()
 	if o == nil || !o.loaded.Load() {
 		return "", false, false
@@ -36,7 +36,7 @@
 }
 
 // state returns a job's state from the owner, or from the store.
-func (n *Node) state(ctx context.Context, id ID) (platform.State, bool, error) {
+func (n *Node) state(ctx context.Context, id ID) (platform.JobState, bool, error) {
 	if s, known, owns := n.localState(id); owns && known {
 		return s, true, nil
 	}
@@ -52,7 +52,7 @@
 // storedState returns a job's state as the store has it. It reads the record before the
 // progress: the write that makes the progress final deletes the record, so that a job which
 // ends meanwhile is found either way.
-func (n *Node) storedState(ctx context.Context, id ID) (platform.State, bool, error) {
+func (n *Node) storedState(ctx context.Context, id ID) (platform.JobState, bool, error) {
 	_, err := n.KV.Get(ctx, recordKey(id))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return "", false, err
@@ -148,8 +148,8 @@
 			return false, err
 		}
 		_, _, err = n.KV.Commit(ctx, platform.Txn{
-			Guards: []platform.Guard{{Key: e.Key, Revision: e.Revision}},
-			Puts:   []platform.Put{{Key: cancelKey(id), Value: []byte("1")}},
+			Conditions: []platform.Condition{{Key: e.Key, Revision: e.Revision}},
+			Puts:       []platform.Put{{Key: cancelKey(id), Value: []byte("1")}},
 		})
 		if errors.Is(err, platform.ErrConflict) || (errors.Is(err, common.ErrSilent) && ctx.Err() == nil) {
 			// Retry: if the mark was written and only the answer lost, the same mark is
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -12,7 +12,7 @@
 
 // weightedConfig returns testConfig with the teams "paint", whose share is ten jobs a
 // second, and "tint", whose share is one.
-func weightedConfig() *platform.Deployed {
+func weightedConfig() *platform.Config {
 	d := testConfig()
 	d.Version = 2
 	d.Teams = []platform.Team{{Name: "paint", Weight: 10}, {Name: "tint", Weight: 1}}
--- a/job/silence_test.go
+++ b/job/silence_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestConfigurationIsInForceInTimeAlthoughAllConnectionsToTheStoreGoSilent(t *testing.T) {
-	for name, w := range map[string]proxy.Way{"both": proxy.Both, "answers": proxy.Answers} {
+	for name, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSilentStore(t)
@@ -80,7 +80,7 @@
 }
 
 func TestOwnersLeaseIsRenewedInTimeAlthoughAllConnectionsToTheStoreGoSilent(t *testing.T) {
-	for name, w := range map[string]proxy.Way{"both": proxy.Both, "answers": proxy.Answers} {
+	for name, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSilentStore(t)
--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -54,7 +54,7 @@
 	l := f.starts()
 	require.Len(t, l, 2)
 	for _, r := range l {
-		f.step(StartResult{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknown})
+		f.step(StartResult{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknownOutcome})
 	}
 	f.pass(settleAfter + 100*time.Millisecond)
 	require.Empty(t, f.stops(), "both runs may be ready")
@@ -72,7 +72,7 @@
 	s.Lasting, s.MaxUnavailable = true, 1
 	f.submit(idA, "quick", s)
 	l := f.starts()
-	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: common.ErrUnknown})
+	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: common.ErrUnknownOutcome})
 	f.pass(100 * time.Millisecond)
 	f.answer("w1", platform.PollReply{})
 	f.pass(settleAfter + 100*time.Millisecond)
--- a/job/state.go
+++ b/job/state.go
@@ -21,10 +21,10 @@
 	// share by then.
 	knownAt   time.Time
 	overShare bool
-	state     platform.State
+	state     platform.JobState
 	finalAt   time.Time
 	// storedState is the last state that was written to the store.
-	storedState platform.State
+	storedState platform.JobState
 	started     bool
 	instances   map[int]*instance
 	// orphanUsage is what the job's orphaned runs take.
--- a/job/store_writer.go
+++ b/job/store_writer.go
@@ -40,7 +40,7 @@
 func (k *storeWriter) write(ctx context.Context, a WriteStore, slow func()) error {
 	id := strconv.FormatInt(int64(k.fence), 10) + "." + strconv.FormatInt(a.Number, 10)
 	t := platform.Txn{
-		Guards: []platform.Guard{
+		Conditions: []platform.Condition{
 			{Key: ownerKey, Revision: platform.Revision(k.fence)},
 			{Key: writeKey, Revision: k.last},
 		},
--- a/job/storehealth_test.go
+++ b/job/storehealth_test.go
@@ -34,7 +34,7 @@
 // ones are told at once that their jobs were not accepted.
 func TestJobsAreRejectedAtOnceWhileStoreIsUnreachable(t *testing.T) {
 	s := newStoreFixture(t)
-	s.SetFault(fleet.Fault{Lose: true})
+	s.SetFault(fleet.StoreFault{LoseAnswers: true})
 	i := newIntake(s.kv, nil, time.Now)
 	go i.run(t.Context())
 	r := NewRecord(testConfig().Queues[0], fixtureSubmission(), time.Now())
--- a/job/takeover.go
+++ b/job/takeover.go
@@ -46,7 +46,7 @@
 
 // Inherited is the state that an owner finds in the store when it takes over.
 type Inherited struct {
-	Config   *platform.Deployed
+	Config   *platform.Config
 	Workers  []platform.Worker
 	Jobs     []Accepted
 	Progress map[ID]Progress
@@ -164,7 +164,7 @@
 }
 
 func (r *uncontactedCapacity) add(w *worker) {
-	r.Resources = r.Plus(w.Capacity, 1)
+	r.Resources = r.AddTimes(w.Capacity, 1)
 	r.unknown = r.unknown || w.Capacity == (platform.Resources{})
 }
 
--- a/job/teams.go
+++ b/job/teams.go
@@ -75,7 +75,7 @@
 	if t == nil || t.Cap == (platform.Resources{}) {
 		return true
 	}
-	return t.usage().Plus(need, n).Within(t.Cap)
+	return t.usage().AddTimes(need, n).Within(t.Cap)
 }
 
 // checkCap returns an error if a step of the job can never run within the team's cap. Its
@@ -86,7 +86,7 @@
 		if s.Gang {
 			n = int64(s.Count)
 		}
-		if !(platform.Resources{}).Plus(s.Resources, n).Within(t.Cap) {
+		if !(platform.Resources{}).AddTimes(s.Resources, n).Within(t.Cap) {
 			return fmt.Errorf("step %d: needs more than the cap of team %s ever allows", i, t.Name)
 		}
 	}
@@ -99,7 +99,7 @@
 	if t == nil {
 		return
 	}
-	t.used = t.used.Plus(need, n)
+	t.used = t.used.AddTimes(need, n)
 	if n < 0 {
 		t.unblock()
 	}
@@ -111,7 +111,7 @@
 	if t == nil {
 		return platform.Resources{}
 	}
-	return t.used.Plus(t.uncontactedUsage, 1)
+	return t.used.AddTimes(t.uncontactedUsage, 1)
 }
 
 // addWaiting records that tasks in the service wait for the team's cap.
@@ -154,10 +154,10 @@
 	if t.round != t.teams.round {
 		t.round, t.counted = t.teams.round, platform.Resources{}
 	}
-	used := usage.Plus(t.counted, 1)
+	used := usage.AddTimes(t.counted, 1)
 	n = min(n, countFitting(t.Cap.MilliCores, used.MilliCores, need.MilliCores),
 		countFitting(t.Cap.MemoryMB, used.MemoryMB, need.MemoryMB), countFitting(t.Cap.GPUs, used.GPUs, need.GPUs))
-	t.counted = t.counted.Plus(need, n)
+	t.counted = t.counted.AddTimes(need, n)
 	return n
 }
 
@@ -178,11 +178,11 @@
 		return
 	}
 	if j.leftover != nil {
-		j.team.uncontactedUsage = j.team.uncontactedUsage.Plus(j.leftover.Running, 1)
+		j.team.uncontactedUsage = j.team.uncontactedUsage.AddTimes(j.leftover.Running, 1)
 	}
 	for _, n := range j.instances {
 		for _, s := range n.steps {
-			j.team.uncontactedUsage = j.team.uncontactedUsage.Plus(s.Resources, int64(s.idle))
+			j.team.uncontactedUsage = j.team.uncontactedUsage.AddTimes(s.Resources, int64(s.idle))
 		}
 	}
 }
@@ -212,6 +212,6 @@
 		return
 	}
 	for _, t := range c.teams.byName {
-		t.uncontactedUsage = t.uncontactedUsage.Least(room.Resources)
+		t.uncontactedUsage = t.uncontactedUsage.Min(room.Resources)
 	}
 }
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -12,7 +12,7 @@
 
 // cappedConfig returns testConfig with the teams "paint", which has the cap, and "tint",
 // which has none.
-func cappedConfig(version int64, limit platform.Resources) *platform.Deployed {
+func cappedConfig(version int64, limit platform.Resources) *platform.Config {
 	d := testConfig()
 	d.Version = version
 	d.Teams = []platform.Team{{Name: "paint", Weight: 10, Cap: limit}, {Name: "tint", Weight: 10}}
--- a/job/upcoming.go
+++ b/job/upcoming.go
@@ -20,7 +20,7 @@
 		for _, n := range j.instances {
 			for _, s := range n.steps {
 				tasks := j.team.limitToCap(platform.Resources{}, s.Resources, int64(c.upcomingTasks(s, at)))
-				sum = sum.Plus(workerDemand(s.Step), tasks)
+				sum = sum.AddTimes(workerDemand(s.Step), tasks)
 			}
 		}
 	}
--- a/job/waitlist_test.go
+++ b/job/waitlist_test.go
@@ -64,10 +64,10 @@
 			}
 		}
 	}
-	d := &platform.Deployed{Version: 1}
+	d := &platform.Config{Version: 1}
 	for i := range services {
 		s := fmt.Sprint("s", i)
-		d.Services = append(d.Services, platform.Service{Name: s, Guards: true})
+		d.Services = append(d.Services, platform.Service{Name: s, RejectsOverload: true})
 		d.Queues = append(d.Queues, platform.Queue{Name: s, Service: s, Attempts: 2, Stretch: 1.5, Goal: time.Second})
 	}
 	do(ConfigChanged{Config: d})
--- a/job/waves.go
+++ b/job/waves.go
@@ -52,7 +52,7 @@
 	if c.waves[e.Wave.Number] != nil {
 		return
 	}
-	v := &wave{Wave: e.Wave, endsAt: c.now.Add(e.Wave.Within), pending: map[string]bool{}, down: map[string]bool{}, began: e.Began, knownSince: c.now}
+	v := &wave{Wave: e.Wave, endsAt: c.now.Add(e.Wave.TimeLimit), pending: map[string]bool{}, down: map[string]bool{}, began: e.Began, knownSince: c.now}
 	for _, n := range e.Wave.Machines {
 		v.pending[n] = !slices.Contains(e.Began, n)
 		if !v.pending[n] {
@@ -60,7 +60,7 @@
 		}
 	}
 	c.waves[e.Wave.Number] = v
-	c.emit(LogLine{What: "wave", Fields: []any{"wave", v.Number, "machines", len(v.Machines), "left", len(v.pending), "cap", v.Cap, "within_ms", v.Within.Milliseconds()}})
+	c.emit(LogLine{What: "wave", Fields: []any{"wave", v.Number, "machines", len(v.Machines), "left", len(v.pending), "cap", v.MaxDown, "within_ms", v.TimeLimit.Milliseconds()}})
 	k, b := platform.WaveStatus(v.Number, false)
 	c.queueWrite([]platform.Put{{Key: k, Value: b}}, nil)
 }
@@ -149,12 +149,12 @@
 	if c.now.Before(c.ordersFrom) {
 		return
 	}
-	free := max(1, v.Cap) - c.machinesDown(v)
+	free := max(1, v.MaxDown) - c.machinesDown(v)
 	for i, m := range c.waveCandidates(v) {
 		if i >= free+waveDrainAhead {
 			return
 		}
-		if c.drainMachine(m, waveDrainTimeout) && c.machinesDown(v) < max(1, v.Cap) && c.mayOrder() {
+		if c.drainMachine(m, waveDrainTimeout) && c.machinesDown(v) < max(1, v.MaxDown) && c.mayOrder() {
 			v.down[m.Name] = true
 			c.recordOrder(m, &machineOrder{wave: v})
 		}
--- a/job/worker.go
+++ b/job/worker.go
@@ -242,7 +242,7 @@
 }
 
 func (w *worker) charge(s *platform.Step, sign int64) {
-	w.used = w.used.Plus(workerDemand(s), sign)
+	w.used = w.used.AddTimes(workerDemand(s), sign)
 }
 
 // workerDemand returns what a task of the step takes of a worker's capacity. Best-effort tasks
--- a/job/world_faults_test.go
+++ b/job/world_faults_test.go
@@ -84,7 +84,7 @@
 }
 
 // checkFinal checks that the final state of a job in the store is right.
-func (w *world) checkFinal(id ID, s platform.State) {
+func (w *world) checkFinal(id ID, s platform.JobState) {
 	rec := w.jobs[id]
 	if s == platform.StateSucceeded {
 		for i, d := range rec.Steps {
--- a/job/world_lasting_test.go
+++ b/job/world_lasting_test.go
@@ -230,7 +230,7 @@
 
 // requestWave requests a wave of maintenance of some hosts.
 func (w *world) requestWave() {
-	v := platform.Wave{Number: int64(len(w.waves) + 1), Within: 20 * time.Second, Cap: rapid.IntRange(1, 2).Draw(w.t, "cap")}
+	v := platform.Wave{Number: int64(len(w.waves) + 1), TimeLimit: 20 * time.Second, MaxDown: rapid.IntRange(1, 2).Draw(w.t, "cap")}
 	for _, x := range w.workersByStart {
 		if x.alive && !slices.Contains(v.Machines, x.Host) && rapid.Bool().Draw(w.t, "in_wave") {
 			v.Machines = append(v.Machines, x.Host)
--- a/job/world_teams_test.go
+++ b/job/world_teams_test.go
@@ -37,7 +37,7 @@
 }
 
 // config returns the configuration in force.
-func (w *world) config() *platform.Deployed {
+func (w *world) config() *platform.Config {
 	d := testConfig()
 	d.Version = w.version
 	d.Teams = []platform.Team{{Name: "paint", Weight: 2, Cap: platform.Resources{MilliCores: w.limit}}, {Name: "tint", Weight: 1}}
--- a/job/world_test.go
+++ b/job/world_test.go
@@ -308,7 +308,7 @@
 	sent, answer := w.bytesOf(id, a)
 	there += w.linkDelay(o, sent)
 	timeoutAt := w.now.Add(timeout)
-	unanswered := func() { w.tell(o, failed(common.ErrUnknown)) }
+	unanswered := func() { w.tell(o, failed(common.ErrUnknownOutcome)) }
 	w.after(there, func() {
 		v := w.recipient(v, a)
 		if (!v.alive || v.restarting) && !lost {
@@ -398,18 +398,18 @@
 }
 
 func (w *world) poll(v *worldWorker, a PollWorker) Event {
-	out := PollResult{Worker: a.Worker.ID, SentAt: w.now, Acked: a.Order.LastSeen, Poll: platform.PollReply{Clock: v.clock(w.now)}}
+	out := PollResult{Worker: a.Worker.ID, SentAt: w.now, Acked: a.Order.LastAcked, Poll: platform.PollReply{Clock: v.clock(w.now)}}
 	out.Poll.Incarnation = v.ID.Incarnation()
 	if a.Order.Fence < v.fence {
-		out.Rejection = platform.RejectedFence
+		out.Rejection = platform.RejectedFenced
 		return out
 	}
 	v.fence = a.Order.Fence
-	if a.Order.Until > 0 {
-		v.until = max(v.until, a.Order.Until)
+	if a.Order.LeaseUntil > 0 {
+		v.until = max(v.until, a.Order.LeaseUntil)
 	}
 	v.ended = slices.DeleteFunc(v.ended, func(e *worldEnd) bool {
-		if e.row.Number > a.Order.LastSeen {
+		if e.row.Number > a.Order.LastAcked {
 			return false
 		}
 		w.acknowledge(e)
@@ -429,15 +429,15 @@
 	out := StartResult{Worker: a.Worker.ID, Run: o.Run, Task: o.Task, Clock: v.clock(w.now)}
 	switch {
 	case o.Fence < v.fence:
-		out.Rejection = platform.RejectedFence
+		out.Rejection = platform.RejectedFenced
 	case v.runs[o.Task] != nil && v.runs[o.Task].number == o.Run:
 	case o.Run <= v.highestRun[o.Task]:
-		out.Rejection = platform.RejectedOld
-	case o.Until <= v.clock(w.now):
-		out.Rejection = platform.RejectedLate
+		out.Rejection = platform.RejectedStaleRun
+	case o.LeaseUntil <= v.clock(w.now):
+		out.Rejection = platform.RejectedExpired
 	default:
 		v.fence = o.Fence
-		v.until = max(v.until, o.Until)
+		v.until = max(v.until, o.LeaseUntil)
 		v.highestRun[o.Task] = o.Run
 		w.begin(v, o)
 	}
@@ -447,7 +447,7 @@
 func (w *world) stop(v *worldWorker, a StopRun, late bool) Event {
 	out := StopResult{Worker: a.Worker.ID, Run: a.Run, Task: a.Task, Clock: v.clock(w.now)}
 	if a.Fence < v.fence {
-		out.Rejection = platform.RejectedFence
+		out.Rejection = platform.RejectedFenced
 		return out
 	}
 	v.fence = a.Fence
--- a/job/write_queue.go
+++ b/job/write_queue.go
@@ -54,7 +54,7 @@
 
 // writtenState is the state of a job as a write holds it.
 type writtenState struct {
-	platform.State
+	platform.JobState
 	crashVersion int
 }
 
@@ -145,7 +145,7 @@
 		c.emit(LogLine{What: "progress not encoded", Job: j.id, Why: err.Error()})
 		return
 	}
-	k.states[j] = writtenState{State: j.state, crashVersion: j.crashVersion}
+	k.states[j] = writtenState{JobState: j.state, crashVersion: j.crashVersion}
 	k.puts = append(k.puts, platform.Put{Key: progressKey(j.id), Value: b})
 	if j.state.Final() {
 		k.deletes = append(k.deletes, recordKey(j.id), cancelKey(j.id))
@@ -193,7 +193,7 @@
 	}
 	c.sendRecorded(k.machines, e.Revision)
 	for j, s := range k.states {
-		j.storedState = s.State
+		j.storedState = s.JobState
 		if j.storedCrashVersion != s.crashVersion {
 			j.storedCrashVersion = s.crashVersion
 			c.replan(j.queue.Service)
--- a/peers/conn.go
+++ b/peers/conn.go
@@ -23,10 +23,10 @@
 // link is one connection. Its counts are guarded by the Conn's mutex.
 type link struct {
 	*grpc.ClientConn
-	// calls counts those under way.
-	calls int
-	// answers counts those that were answered.
-	answers int
+	// pending counts those under way.
+	pending int
+	// answered counts those that were answered.
+	answered int
 }
 
 // errSilent says that a connection that has answered before does not any more.
@@ -44,9 +44,9 @@
 // half of the call's time is replaced, and the call goes again on the new one.
 func (c *Conn) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
 	f := func(ctx context.Context, l *link) error { return l.Invoke(ctx, method, args, reply, opts...) }
-	err := c.try(ctx, f)
+	err := c.invokeHalf(ctx, f)
 	if errors.Is(err, errSilent) {
-		return c.last(ctx, f)
+		return c.invokeFull(ctx, f)
 	}
 	return err
 }
@@ -59,9 +59,9 @@
 	return l.NewStream(ctx, d, method, opts...)
 }
 
-// try makes the call within half of its time where the connection has answered
+// invokeHalf makes the call within half of its time where the connection has answered
 // before. It returns errSilent where that brought nothing.
-func (c *Conn) try(ctx context.Context, f func(context.Context, *link) error) error {
+func (c *Conn) invokeHalf(ctx context.Context, f func(context.Context, *link) error) error {
 	l, answers := c.begin()
 	end, bounded := ctx.Deadline()
 	if answers == 0 || !bounded {
@@ -77,8 +77,8 @@
 	return errSilent
 }
 
-// last makes the call within all of its time.
-func (c *Conn) last(ctx context.Context, f func(context.Context, *link) error) error {
+// invokeFull makes the call within all of its time.
+func (c *Conn) invokeFull(ctx context.Context, f func(context.Context, *link) error) error {
 	l, _ := c.begin()
 	return c.end(l, f(ctx, l))
 }
@@ -86,8 +86,8 @@
 func (c *Conn) begin() (*link, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.link.calls++
-	return c.link, c.link.answers
+	c.link.pending++
+	return c.link, c.link.answered
 }
 
 // end notes the end of a call and closes a connection that was replaced with the last
@@ -95,11 +95,11 @@
 func (c *Conn) end(l *link, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.calls--
+	l.pending--
 	if answered(err) {
-		l.answers++
+		l.answered++
 	}
-	c.retire(l)
+	c.closeIfUnused(l)
 	return err
 }
 
@@ -108,17 +108,17 @@
 func (c *Conn) replace(l *link, answers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.link != l || l.answers != answers {
+	if c.link != l || l.answered != answers {
 		return
 	}
 	if g, err := c.open(); err == nil {
 		c.link = &link{ClientConn: g}
-		c.retire(l)
+		c.closeIfUnused(l)
 	}
 }
 
-func (c *Conn) retire(l *link) {
-	if l != c.link && l.calls == 0 {
+func (c *Conn) closeIfUnused(l *link) {
+	if l != c.link && l.pending == 0 {
 		_ = l.Close()
 	}
 }
--- a/peers/dialer.go
+++ b/peers/dialer.go
@@ -21,8 +21,8 @@
 
 // Times of a connection between entry hosts.
 const (
-	dialTimeout  = 500 * time.Millisecond
-	redialAtMost = time.Second
+	dialTimeout    = 500 * time.Millisecond
+	maxRedialDelay = time.Second
 	// keepaliveTime ends a connection to a host that is gone while no call is made;
 	// gRPC takes no less. Calls show silence sooner.
 	keepaliveTime = 10 * time.Second
@@ -62,7 +62,7 @@
 func (d *Dialer) open(a netip.AddrPort) (*grpc.ClientConn, error) {
 	b := backoff.DefaultConfig
 	b.BaseDelay = 100 * time.Millisecond
-	b.MaxDelay = redialAtMost
+	b.MaxDelay = maxRedialDelay
 	return grpc.NewClient("passthrough:///"+a.String(),
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: b, MinConnectTimeout: dialTimeout}),
@@ -73,8 +73,8 @@
 	)
 }
 
-// Keep closes the connections to all other addresses.
-func (d *Dialer) Keep(l map[netip.AddrPort]bool) {
+// CloseOthers closes the connections to all other addresses.
+func (d *Dialer) CloseOthers(l map[netip.AddrPort]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for a, c := range d.conns {
@@ -87,7 +87,7 @@
 
 // Close closes all connections.
 func (d *Dialer) Close() {
-	d.Keep(nil)
+	d.CloseOthers(nil)
 }
 
 func (d *Dialer) addToken(ctx context.Context, method string, req, reply any, c *grpc.ClientConn,
--- a/peers/generations.go
+++ b/peers/generations.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		g.Go(func() {
-			n, err := s.generationOf(ctx, m)
+			n, err := s.queryGeneration(ctx, m)
 			if err != nil {
 				return
 			}
@@ -31,7 +31,7 @@
 	return out
 }
 
-func (s *Service) generationOf(ctx context.Context, m Member) (int64, error) {
+func (s *Service) queryGeneration(ctx context.Context, m Member) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
 	c, err := s.dialer.Conn(m.Peer)
@@ -39,7 +39,7 @@
 		return 0, err
 	}
 	q := &peerspb.ProbeRequest{}
-	s.fill(q, m.Name)
+	s.fillRequest(q, m.Name)
 	r, err := peerspb.NewPeersClient(c).Probe(ctx, q)
 	return r.GetGeneration(), err
 }
--- a/peers/holding.go
+++ b/peers/holding.go
@@ -10,15 +10,15 @@
 	"amberway/peers/peerspb"
 )
 
-// Holding returns the names of the members of the data centre that may use what
+// ShareHolders returns the names of the members of the data centre that may use what
 // is shared out among them. A member that is silent, and so taken for dead, is
 // one of them: it may be paused or cut off and use its share at any time. It
 // holds it until it says that it leaves, its process is known to have ended, or
 // it is forgotten.
-func (t *Table) Holding(dc string) []string {
+func (t *Table) ShareHolders(dc string) []string {
 	var l []string
 	for _, m := range t.Members() {
-		if m.DataCentre == dc && m.State != Left && !t.ended(m) {
+		if m.DataCentre == dc && m.State != Left && !t.processEnded(m) {
 			l = append(l, m.Name)
 		}
 	}
@@ -30,27 +30,27 @@
 func (t *Table) Silent(dc string) []Member {
 	var l []Member
 	for _, m := range t.Members() {
-		if m.DataCentre == dc && m.State == Dead && !t.ended(m) {
+		if m.DataCentre == dc && m.State == Dead && !t.processEnded(m) {
 			l = append(l, m)
 		}
 	}
 	return l
 }
 
-// Ended notes that the process of the member, in its incarnation, has ended.
-func (t *Table) Ended(m Member) {
+// MarkEnded notes that the process of the member, in its incarnation, has ended.
+func (t *Table) MarkEnded(m Member) {
 	if e, ok := t.rows[m.Name]; ok && e.Incarnation == m.Incarnation {
-		e.gone = true
+		e.ended = true
 	}
 }
 
-// ended reports whether the member's process is known to have ended: it was seen
+// processEnded reports whether the member's process is known to have ended: it was seen
 // so, or a live member of another name has its address.
-func (t *Table) ended(m Member) bool {
+func (t *Table) processEnded(m Member) bool {
 	if m.State != Dead {
 		return false
 	}
-	if t.rows[m.Name].gone {
+	if t.rows[m.Name].ended {
 		return true
 	}
 	for n, e := range t.rows {
@@ -61,30 +61,30 @@
 	return false
 }
 
-// knockEvery is how many periods apart the address of a silent member is tried.
-const knockEvery = 2
+// listenerCheckPeriods is how many periods apart the address of a silent member is tried.
+const listenerCheckPeriods = 2
 
-// Holding returns the names of the members of the data centre that may use what
+// ShareHolders returns the names of the members of the data centre that may use what
 // is shared out among them.
-func (s *Service) Holding(dc string) []string {
+func (s *Service) ShareHolders(dc string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Holding(dc)
+	return s.table.ShareHolders(dc)
 }
 
-// knock tries the address of each silent member of the data centre. Where
+// checkListeners tries the address of each silent member of the data centre. Where
 // nothing listens any more the process has ended, as it closes its listener
 // last.
-func (s *Service) knock(ctx context.Context) {
+func (s *Service) checkListeners(ctx context.Context) {
 	s.mu.Lock()
 	l := s.table.Silent(s.Self.DataCentre)
 	s.mu.Unlock()
 	for _, m := range l {
-		go s.knockAt(ctx, m)
+		go s.checkListener(ctx, m)
 	}
 }
 
-func (s *Service) knockAt(ctx context.Context, m Member) {
+func (s *Service) checkListener(ctx context.Context, m Member) {
 	d := net.Dialer{Timeout: probeTimeout}
 	c, err := d.DialContext(ctx, "tcp", m.Peer.String())
 	if err == nil {
@@ -96,29 +96,29 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Ended(m)
+	s.table.MarkEnded(m)
 	s.log.Infof("%s has ended", m.Name)
 }
 
-// Relearn asks every live member of the data centre for its table, after a pause
+// PullTables asks every live member of the data centre for its table, after a pause
 // in which others may have joined. One that does not answer is left out.
-func (s *Service) Relearn(ctx context.Context) {
+func (s *Service) PullTables(ctx context.Context) {
 	var g sync.WaitGroup
 	for _, m := range s.Live() {
 		if m.DataCentre == s.Self.DataCentre && m.Name != s.Self.Name {
-			g.Go(func() { s.ask(ctx, m, &peerspb.ProbeRequest{Full: true}) })
+			g.Go(func() { s.sendProbe(ctx, m, &peerspb.ProbeRequest{Full: true}) })
 		}
 	}
 	g.Wait()
 }
 
-// Met reports whether every live member of the data centre has answered this
+// ContactedAll reports whether every live member of the data centre has answered this
 // process since its start, and so knows of it.
-func (s *Service) Met(dc string) bool {
+func (s *Service) ContactedAll(dc string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.table.Live() {
-		if m.DataCentre == dc && m.Name != s.Self.Name && s.met[m.Name] != m.Incarnation {
+		if m.DataCentre == dc && m.Name != s.Self.Name && s.contacted[m.Name] != m.Incarnation {
 			return false
 		}
 	}
--- a/peers/holding_test.go
+++ b/peers/holding_test.go
@@ -14,7 +14,7 @@
 	"amberway/internal/standin"
 )
 
-func held(name string, peer uint16, dc string, s State) Member {
+func newMember(name string, peer uint16, dc string, s State) Member {
 	a := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), peer)
 	return Member{Name: name, Incarnation: 1, State: s, DataCentre: dc, Peer: a, Caller: a}
 }
@@ -23,40 +23,40 @@
 // that is only silent does, one that left, ended or was replaced does not.
 func TestSilentMemberHoldsItsShare(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	self := held("a", 1, "north", Alive)
+	self := newMember("a", 1, "north", Alive)
 	b := NewTable(self, DefaultOptions(), rand.New(rand.NewPCG(1, 2)))
 	merge := func(m Member) {
 		alive := m
 		alive.State = Alive
 		b.Merge(now, []Member{alive, m})
 	}
-	merge(held("b", 2, "north", Alive))
-	merge(held("c", 3, "north", Suspect))
-	merge(held("d", 4, "north", Dead))
-	merge(held("e", 5, "north", Left))
-	merge(held("f", 6, "south", Alive))
-	require.Equal(t, []string{"a", "b", "c", "d"}, b.Holding("north"))
-	require.Equal(t, []Member{held("d", 4, "north", Dead)}, b.Silent("north"))
+	merge(newMember("b", 2, "north", Alive))
+	merge(newMember("c", 3, "north", Suspect))
+	merge(newMember("d", 4, "north", Dead))
+	merge(newMember("e", 5, "north", Left))
+	merge(newMember("f", 6, "south", Alive))
+	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"))
+	require.Equal(t, []Member{newMember("d", 4, "north", Dead)}, b.Silent("north"))
 
-	b.Ended(held("d", 4, "north", Dead))
-	require.Equal(t, []string{"a", "b", "c"}, b.Holding("north"))
+	b.MarkEnded(newMember("d", 4, "north", Dead))
+	require.Equal(t, []string{"a", "b", "c"}, b.ShareHolders("north"))
 	require.Empty(t, b.Silent("north"))
 
-	again := held("d", 4, "north", Dead)
+	again := newMember("d", 4, "north", Dead)
 	again.Incarnation = 2
 	merge(again)
-	require.Equal(t, []string{"a", "b", "c", "d"}, b.Holding("north"), "a later process of the same name")
-	b.Ended(held("d", 4, "north", Dead))
-	require.Equal(t, []string{"a", "b", "c", "d"}, b.Holding("north"), "the end of the process before it")
+	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"), "a later process of the same name")
+	b.MarkEnded(newMember("d", 4, "north", Dead))
+	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"), "the end of the process before it")
 
-	merge(held("g", 4, "north", Alive))
-	require.Equal(t, []string{"a", "b", "c", "g"}, b.Holding("north"), "another process has its address")
+	merge(newMember("g", 4, "north", Alive))
+	require.Equal(t, []string{"a", "b", "c", "g"}, b.ShareHolders("north"), "another process has its address")
 
 	for range 3 {
 		now = now.Add(DefaultOptions().ForgetAfter)
 		b.Tick(now)
 	}
-	require.NotContains(t, b.Holding("north"), "d")
+	require.NotContains(t, b.ShareHolders("north"), "d")
 }
 
 // TestOnlyARefusedConnectionShowsThatAProcessHasEnded knocks at a silent member
@@ -65,32 +65,32 @@
 func TestOnlyARefusedConnectionShowsThatAProcessHasEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := held("b", 0, "north", Alive)
+	m := newMember("b", 0, "north", Alive)
 	m.Peer = netip.MustParseAddrPort(l.Addr().String())
 	d := NewDialer("token")
 	defer d.Close()
-	s := New(common.Quiet(), Settings{Self: held("a", 1, "north", Alive), Options: DefaultOptions()}, d, standin.NewMemory())
+	s := New(common.NopDeps(), Settings{Self: newMember("a", 1, "north", Alive), Options: DefaultOptions()}, d, standin.NewFaultyStore())
 	s.table.Merge(time.Now(), []Member{m})
 	m.State = Dead
 	s.table.Merge(time.Now(), []Member{m})
-	s.knockAt(context.Background(), m)
-	require.Equal(t, []string{"a", "b"}, s.Holding("north"))
+	s.checkListener(context.Background(), m)
+	require.Equal(t, []string{"a", "b"}, s.ShareHolders("north"))
 	require.NoError(t, l.Close())
-	s.knockAt(context.Background(), m)
-	require.Equal(t, []string{"a"}, s.Holding("north"))
+	s.checkListener(context.Background(), m)
+	require.Equal(t, []string{"a"}, s.ShareHolders("north"))
 }
 
-// TestMemberIsMetOnceItAnswers shows that a member counts as met by its answer,
+// TestMemberIsContactedOnceItAnswers shows that a member counts as met by its answer,
 // and a later process of its name does not.
-func TestMemberIsMetOnceItAnswers(t *testing.T) {
+func TestMemberIsContactedOnceItAnswers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	other := held("b", 0, "north", Alive)
+	other := newMember("b", 0, "north", Alive)
 	other.Peer = netip.MustParseAddrPort(l.Addr().String())
 	d := NewDialer("token")
 	defer d.Close()
 	service := func(m Member) *Service {
-		return New(common.Quiet(), Settings{Self: m, Options: DefaultOptions(), Generation: func() int64 { return 0 }}, d, standin.NewMemory())
+		return New(common.NopDeps(), Settings{Self: m, Options: DefaultOptions(), Generation: func() int64 { return 0 }}, d, standin.NewFaultyStore())
 	}
 	g := NewServer("token")
 	b := service(other)
@@ -98,17 +98,17 @@
 	go func() { _ = g.Serve(l) }()
 	defer g.Stop()
 
-	a := service(held("a", 1, "north", Alive))
-	require.True(t, a.Met("north"), "nobody else is there")
+	a := service(newMember("a", 1, "north", Alive))
+	require.True(t, a.ContactedAll("north"), "nobody else is there")
 	a.table.Merge(time.Now(), []Member{other})
 	a.publish()
-	require.False(t, a.Met("north"))
-	require.True(t, a.Met("south"))
-	a.Relearn(t.Context())
-	require.True(t, a.Met("north"))
-	require.Contains(t, b.Holding("north"), "a", "what it means to be met")
+	require.False(t, a.ContactedAll("north"))
+	require.True(t, a.ContactedAll("south"))
+	a.PullTables(t.Context())
+	require.True(t, a.ContactedAll("north"))
+	require.Contains(t, b.ShareHolders("north"), "a", "what it means to be met")
 
 	other.Incarnation++
 	a.table.Merge(time.Now(), []Member{other})
-	require.False(t, a.Met("north"))
+	require.False(t, a.ContactedAll("north"))
 }
--- a/peers/join.go
+++ b/peers/join.go
@@ -16,14 +16,14 @@
 // register writes the process's address to the platform once.
 func (s *Service) register(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := s.write(ctx); err == nil {
+		if err := s.writeAddress(ctx); err == nil {
 			return
 		}
-		common.Sleep(ctx, rejoinEvery+rand.N(rejoinEvery))
+		common.Sleep(ctx, discoverInterval+rand.N(discoverInterval))
 	}
 }
 
-func (s *Service) write(ctx context.Context) error {
+func (s *Service) writeAddress(ctx context.Context) error {
 	b, err := json.Marshal(s.Self)
 	if err != nil {
 		return err
@@ -49,27 +49,27 @@
 	_ = s.store.Delete(ctx, e.Key, e.Revision)
 }
 
-// rejoin looks for entry hosts that the process does not know: all the time
+// discover looks for entry hosts that the process does not know: all the time
 // while it knows no other, and now and then later, as two groups that started
 // apart from each other would else stay so.
-func (s *Service) rejoin(ctx context.Context) {
+func (s *Service) discover(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		alone := len(s.Live()) < 2
-		if alone || n%seedEvery == 0 {
-			s.askUnknown(ctx, s.Seeds, alone)
+		if alone || n%seedRounds == 0 {
+			s.probeUnknown(ctx, s.Seeds, alone)
 		}
-		if n%registryEvery == registryEvery/2 {
-			s.dropOld()
+		if n%registryRounds == registryRounds/2 {
+			s.closeUnusedConns()
 		}
-		if alone || n%registryEvery == 0 {
-			s.askUnknown(ctx, s.registered(ctx), alone)
+		if alone || n%registryRounds == 0 {
+			s.probeUnknown(ctx, s.registeredAddresses(ctx), alone)
 		}
-		common.Sleep(ctx, rejoinEvery+rand.N(rejoinEvery/2))
+		common.Sleep(ctx, discoverInterval+rand.N(discoverInterval/2))
 	}
 }
 
-// dropOld closes the connections to addresses that no member or seed has.
-func (s *Service) dropOld() {
+// closeUnusedConns closes the connections to addresses that no member or seed has.
+func (s *Service) closeUnusedConns() {
 	keep := map[netip.AddrPort]bool{}
 	for _, a := range s.Seeds {
 		keep[a] = true
@@ -77,12 +77,12 @@
 	for _, m := range s.Members() {
 		keep[m.Peer] = true
 	}
-	s.dialer.Keep(keep)
+	s.dialer.CloseOthers(keep)
 }
 
-// askUnknown asks one of the addresses that are of no live member, or all of
+// probeUnknown asks one of the addresses that are of no live member, or all of
 // them.
-func (s *Service) askUnknown(ctx context.Context, l []netip.AddrPort, all bool) {
+func (s *Service) probeUnknown(ctx context.Context, l []netip.AddrPort, all bool) {
 	known := map[netip.AddrPort]bool{s.Self.Peer: true}
 	for _, m := range s.Live() {
 		known[m.Peer] = true
@@ -95,13 +95,13 @@
 		l = []netip.AddrPort{l[rand.IntN(len(l))]}
 	}
 	for _, a := range l {
-		go s.ask(ctx, Member{Peer: a}, &peerspb.ProbeRequest{Full: true})
+		go s.sendProbe(ctx, Member{Peer: a}, &peerspb.ProbeRequest{Full: true})
 	}
 }
 
-// registered reads the addresses that entry hosts wrote to the platform, writes
+// registeredAddresses reads the addresses that entry hosts wrote to the platform, writes
 // its own anew if it is missing, and removes those of processes that have gone.
-func (s *Service) registered(ctx context.Context) []netip.AddrPort {
+func (s *Service) registeredAddresses(ctx context.Context) []netip.AddrPort {
 	l, _, err := s.store.List(ctx, MemberPrefix)
 	if err != nil {
 		return nil
@@ -118,29 +118,29 @@
 		s.prune(ctx, e, m)
 	}
 	if !mine {
-		_ = s.write(ctx)
+		_ = s.writeAddress(ctx)
 	}
 	return out
 }
 
-// pruneAfter is how many reads in a row an entry has to be of no live member
+// pruneAfterReads is how many reads in a row an entry has to be of no live member
 // before it is removed. A process that is only cut off writes it again.
-const pruneAfter = 12
+const pruneAfterReads = 12
 
 // prune removes the entry of a process that has gone. The first of the live
 // members does so for all.
 func (s *Service) prune(ctx context.Context, e platform.Entry, m Member) {
 	_, live := s.Member(m.Name)
 	if live {
-		delete(s.unseen, e.Key)
+		delete(s.unseenReads, e.Key)
 		return
 	}
-	s.unseen[e.Key]++
-	if s.unseen[e.Key] < pruneAfter || common.First(MemberPrefix, s.LiveNames("")) != s.Self.Name {
+	s.unseenReads[e.Key]++
+	if s.unseenReads[e.Key] < pruneAfterReads || common.RankFirst(MemberPrefix, s.LiveNames("")) != s.Self.Name {
 		return
 	}
 	if s.store.Delete(ctx, e.Key, e.Revision) == nil {
-		delete(s.unseen, e.Key)
+		delete(s.unseenReads, e.Key)
 		s.log.Infof("address of %s removed", m.Name)
 	}
 }
--- a/peers/member.go
+++ b/peers/member.go
@@ -65,9 +65,9 @@
 	State   State  `json:"state"`
 }
 
-// Newer orders what is known of one name: a later incarnation, then a later
+// Supersedes orders what is known of one name: a later incarnation, then a later
 // version, then the higher state.
-func (m Member) Newer(o Member) bool {
+func (m Member) Supersedes(o Member) bool {
 	if c := cmp.Compare(m.Incarnation, o.Incarnation); c != 0 {
 		return c > 0
 	}
--- a/peers/service.go
+++ b/peers/service.go
@@ -20,12 +20,12 @@
 
 // Times of the search for entry hosts that the process does not know.
 const (
-	// rejoinEvery is how often a process that knows no other looks for one.
-	rejoinEvery = 2 * time.Second
-	// seedEvery is how many such times apart one that knows others asks a seed.
-	seedEvery = 4
-	// registryEvery is how many such times apart it reads the platform's list.
-	registryEvery = 20
+	// discoverInterval is how often a process that knows no other looks for one.
+	discoverInterval = 2 * time.Second
+	// seedRounds is how many such times apart one that knows others asks a seed.
+	seedRounds = 4
+	// registryRounds is how many such times apart it reads the platform's list.
+	registryRounds = 20
 )
 
 // Settings of a Service.
@@ -51,29 +51,29 @@
 	mu     sync.Mutex
 	table  *Table
 	live   atomic.Pointer[[]Member]
-	// Sent counts the probes sent.
-	Sent atomic.Int64
-	// met holds the incarnations of members that have answered.
-	met map[string]uint64
-	// unseen counts for each address in the platform the reads in a row that
+	// ProbesSent counts the probes sent.
+	ProbesSent atomic.Int64
+	// contacted holds the incarnations of members that have answered.
+	contacted map[string]uint64
+	// unseenReads counts for each address in the platform the reads in a row that
 	// found no live member with it. Only the search for members uses it.
-	unseen map[string]int
-	// busy bounds the fetches of a newer generation to one at a time.
-	busy atomic.Bool
+	unseenReads map[string]int
+	// fetching bounds the fetches of a newer generation to one at a time.
+	fetching atomic.Bool
 }
 
 // New returns a membership that is not running yet.
 func New(d common.Deps, s Settings, l *Dialer, store platform.Store) *Service {
 	r := rand.New(rand.NewPCG(rand.Uint64(), s.Self.Incarnation))
 	v := &Service{
-		Settings: s,
-		dialer:   l,
-		store:    store,
-		log:      d.Log("peers"),
-		now:      d.Now,
-		met:      map[string]uint64{},
-		unseen:   map[string]int{},
-		table:    NewTable(s.Self, s.Options, r),
+		Settings:    s,
+		dialer:      l,
+		store:       store,
+		log:         d.Log("peers"),
+		now:         d.Now,
+		contacted:   map[string]uint64{},
+		unseenReads: map[string]int{},
+		table:       NewTable(s.Self, s.Options, r),
 	}
 	v.publish()
 	return v
@@ -123,7 +123,7 @@
 // Run probes one peer a period until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	go s.register(ctx)
-	go s.rejoin(ctx)
+	go s.discover(ctx)
 	t := time.NewTicker(s.Options.Period)
 	defer t.Stop()
 	for n := 0; ; n++ {
@@ -132,8 +132,8 @@
 			return
 		case <-t.C:
 		}
-		if n%knockEvery == 0 {
-			s.knock(ctx)
+		if n%listenerCheckPeriods == 0 {
+			s.checkListeners(ctx)
 		}
 		if m, ok := s.tick(); ok {
 			go s.probe(ctx, m)
@@ -151,7 +151,7 @@
 // probe asks the member directly, then through helpers, and suspects it where
 // none of them has an answer.
 func (s *Service) probe(ctx context.Context, m Member) {
-	if s.ask(ctx, m, &peerspb.ProbeRequest{}) {
+	if s.sendProbe(ctx, m, &peerspb.ProbeRequest{}) {
 		return
 	}
 	s.mu.Lock()
@@ -159,7 +159,7 @@
 	s.mu.Unlock()
 	answers := make(chan bool, len(h))
 	for _, v := range h {
-		go func() { answers <- s.ask(ctx, v, &peerspb.ProbeRequest{Via: m.Name}) }()
+		go func() { answers <- s.sendProbe(ctx, v, &peerspb.ProbeRequest{Via: m.Name}) }()
 	}
 	for range h {
 		if <-answers {
@@ -172,30 +172,30 @@
 	s.publish()
 }
 
-// ask sends one probe and takes in the reply. It reports whether the member
+// sendProbe sends one probe and takes in the reply. It reports whether the member
 // that was asked about is alive. A member known from settings has an address
 // only.
-func (s *Service) ask(ctx context.Context, m Member, q *peerspb.ProbeRequest) bool {
+func (s *Service) sendProbe(ctx context.Context, m Member, q *peerspb.ProbeRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
 	c, err := s.dialer.Conn(m.Peer)
 	if err != nil {
 		return false
 	}
-	s.fill(q, m.Name)
-	s.Sent.Add(1)
+	s.fillRequest(q, m.Name)
+	s.ProbesSent.Add(1)
 	r, err := peerspb.NewPeersClient(c).Probe(ctx, q)
 	if err != nil {
 		return false
 	}
-	s.takeIn(ctx, r.GetFrom(), r.GetNews(), r.GetGeneration())
+	s.mergeNews(ctx, r.GetFrom(), r.GetNews(), r.GetGeneration())
 	s.mu.Lock()
-	s.met[r.GetFrom().GetName()] = r.GetFrom().GetIncarnation()
+	s.contacted[r.GetFrom().GetName()] = r.GetFrom().GetIncarnation()
 	s.mu.Unlock()
 	return q.GetVia() == "" || r.GetAlive()
 }
 
-func (s *Service) fill(q *peerspb.ProbeRequest, to string) {
+func (s *Service) fillRequest(q *peerspb.ProbeRequest, to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q.From = s.table.Self().proto()
@@ -203,8 +203,8 @@
 	q.Generation = s.Generation()
 }
 
-// takeIn merges what a peer handed on.
-func (s *Service) takeIn(ctx context.Context, from *peerspb.Member, news []*peerspb.Member, gen int64) {
+// mergeNews merges what a peer handed on.
+func (s *Service) mergeNews(ctx context.Context, from *peerspb.Member, news []*peerspb.Member, gen int64) {
 	var l []Member
 	for _, p := range append(news, from) {
 		m, err := memberOf(p)
@@ -221,27 +221,27 @@
 	s.mu.Unlock()
 	m, err := memberOf(from)
 	if err == nil && gen > s.Generation() {
-		s.fetch(context.WithoutCancel(ctx), m)
+		s.fetchGeneration(context.WithoutCancel(ctx), m)
 	}
 }
 
-// fetch has the newer generation fetched, one at a time.
-func (s *Service) fetch(ctx context.Context, m Member) {
-	if !s.busy.CompareAndSwap(false, true) {
+// fetchGeneration has the newer generation fetched, one at a time.
+func (s *Service) fetchGeneration(ctx context.Context, m Member) {
+	if !s.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.busy.Store(false)
+		defer s.fetching.Store(false)
 		s.OnGeneration(ctx, m)
 	}()
 }
 
 // Probe answers a peer's probe, or passes it on.
 func (s *Service) Probe(ctx context.Context, q *peerspb.ProbeRequest) (*peerspb.ProbeReply, error) {
-	s.takeIn(ctx, q.GetFrom(), q.GetNews(), q.GetGeneration())
+	s.mergeNews(ctx, q.GetFrom(), q.GetNews(), q.GetGeneration())
 	r := &peerspb.ProbeReply{Generation: s.Generation()}
 	if q.GetVia() != "" {
-		r.Alive = s.passOn(ctx, q.GetVia())
+		r.Alive = s.probeFor(ctx, q.GetVia())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,14 +253,14 @@
 	return r, nil
 }
 
-func (s *Service) passOn(ctx context.Context, name string) bool {
+func (s *Service) probeFor(ctx context.Context, name string) bool {
 	m, ok := s.Member(name)
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return s.ask(ctx, m, &peerspb.ProbeRequest{})
+	return s.sendProbe(ctx, m, &peerspb.ProbeRequest{})
 }
 
 // Leave tells the peers that the process stops.
@@ -271,7 +271,7 @@
 	var g sync.WaitGroup
 	for _, m := range s.Live() {
 		if m.Name != s.Self.Name {
-			g.Go(func() { s.ask(ctx, m, &peerspb.ProbeRequest{}) })
+			g.Go(func() { s.sendProbe(ctx, m, &peerspb.ProbeRequest{}) })
 		}
 	}
 	g.Wait()
--- a/peers/silence_test.go
+++ b/peers/silence_test.go
@@ -59,8 +59,8 @@
 	return err
 }
 
-func TestProbeIsAnsweredAlthoughTheConnectionHasGoneSilent(t *testing.T) {
-	for name, w := range map[string]proxy.Way{"both": proxy.Both, "answers": proxy.Answers} {
+func TestProbeIsRetriedOnANewConnection(t *testing.T) {
+	for name, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
 		t.Run(name, func(t *testing.T) {
 			_, v, d := newSilentPeer(t)
 			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout))
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestCallsOnOneSilentConnectionShareOneNew(t *testing.T) {
+func TestCallsOnASilentConnectionShareItsReplacement(t *testing.T) {
 	_, v, d := newSilentPeer(t)
 	require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout))
 	v.Silence(proxy.Both)
@@ -86,7 +86,7 @@
 	require.Equal(t, int64(2), v.Opened())
 }
 
-func TestPeerThatDoesNotAnswerIsNotDialledAnewEachTime(t *testing.T) {
+func TestUnresponsivePeerIsNotRedialledOnEachCall(t *testing.T) {
 	p, v, d := newSilentPeer(t)
 	require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout))
 	p.stuck.Store(true)
--- a/peers/table.go
+++ b/peers/table.go
@@ -12,29 +12,29 @@
 type Options struct {
 	// Period is the time between two probes.
 	Period time.Duration
-	// SuspectFor is how long a suspected member has to refute it.
-	SuspectFor time.Duration
+	// SuspicionTimeout is how long a suspected member has to refute it.
+	SuspicionTimeout time.Duration
 	// ForgetAfter is how long a member that is dead or left is remembered.
 	ForgetAfter time.Duration
-	// News is the most members handed on with one probe.
-	News int
+	// MaxNews is the most members handed on with one probe.
+	MaxNews int
 	// Helpers is how many others are asked to probe one that did not answer.
 	Helpers int
-	// ReviveEvery is the number of periods between two probes of a dead
+	// DeadProbePeriods is the number of periods between two probes of a dead
 	// member, by which two sides of a healed cut find each other again.
-	ReviveEvery int
+	DeadProbePeriods int
 }
 
 // DefaultOptions returns options that detect a frozen process in about three
 // seconds.
 func DefaultOptions() Options {
 	return Options{
-		Period:      500 * time.Millisecond,
-		SuspectFor:  1500 * time.Millisecond,
-		ForgetAfter: 10 * time.Minute,
-		News:        8,
-		Helpers:     2,
-		ReviveEvery: 10,
+		Period:           500 * time.Millisecond,
+		SuspicionTimeout: 1500 * time.Millisecond,
+		ForgetAfter:      10 * time.Minute,
+		MaxNews:          8,
+		Helpers:          2,
+		DeadProbePeriods: 10,
 	}
 }
 
@@ -45,30 +45,30 @@
 	suspectUntil time.Time
 	// forgetAt is when a dead row is dropped.
 	forgetAt time.Time
-	// sends is how often the row is still to be handed on.
-	sends int
-	// change numbers the changes of all rows; the newest goes first.
-	change int
-	// gone says that the process is known to have ended, and not only silent.
-	gone bool
+	// sendsLeft is how often the row is still to be handed on.
+	sendsLeft int
+	// changeNumber numbers the changes of all rows; the newest goes first.
+	changeNumber int
+	// ended says that the process is known to have ended, and not only silent.
+	ended bool
 }
 
 // Table is the membership as one process sees it. It has no clock and no I/O.
 type Table struct {
-	options Options
-	self    Member
-	rows    map[string]*entry
-	order   []string
-	next    int
-	ticks   int
-	changes int
-	random  *rand.Rand
+	options   Options
+	self      Member
+	rows      map[string]*entry
+	order     []string
+	nextIndex int
+	ticks     int
+	changes   int
+	random    *rand.Rand
 }
 
 // NewTable returns a table that holds only the process itself.
 func NewTable(self Member, o Options, r *rand.Rand) *Table {
 	t := &Table{options: o, self: self, rows: map[string]*entry{}, random: r}
-	t.rows[self.Name] = &entry{Member: self, sends: o.News}
+	t.rows[self.Name] = &entry{Member: self, sendsLeft: o.MaxNews}
 	return t
 }
 
@@ -109,7 +109,7 @@
 	if m.Name == t.self.Name {
 		return t.refute(e, m)
 	}
-	if ok && !m.Newer(e.Member) {
+	if ok && !m.Supersedes(e.Member) {
 		return false
 	}
 	if !ok && m.State >= Dead {
@@ -121,11 +121,11 @@
 
 // refute raises the process's own version above a claim that it is not alive.
 func (t *Table) refute(e *entry, m Member) bool {
-	if e.State == Left || m.Incarnation != e.Incarnation || !m.Newer(e.Member) {
+	if e.State == Left || m.Incarnation != e.Incarnation || !m.Supersedes(e.Member) {
 		return false
 	}
 	e.Version = m.Version + 1
-	t.renew(e)
+	t.markNews(e)
 	return true
 }
 
@@ -141,28 +141,28 @@
 	}
 	old := e.Incarnation
 	e.Member = m
-	t.renew(e)
-	e.gone = e.gone && e.Incarnation == old
+	t.markNews(e)
+	e.ended = e.ended && e.Incarnation == old
 	e.suspectUntil = time.Time{}
 	e.forgetAt = time.Time{}
 	if m.State == Suspect {
-		e.suspectUntil = now.Add(t.options.SuspectFor)
+		e.suspectUntil = now.Add(t.options.SuspicionTimeout)
 	}
 	if m.State >= Dead {
 		e.forgetAt = now.Add(t.options.ForgetAfter)
 	}
 }
 
-// renew makes a row news.
-func (t *Table) renew(e *entry) {
+// markNews makes a row news.
+func (t *Table) markNews(e *entry) {
 	t.changes++
-	e.change = t.changes
-	e.sends = t.budget()
+	e.changeNumber = t.changes
+	e.sendsLeft = t.sendLimit()
 }
 
-// budget is how often a row is handed on: it grows with the logarithm of the
+// sendLimit is how often a row is handed on: it grows with the logarithm of the
 // table, which spreads it to all with high probability.
-func (t *Table) budget() int {
+func (t *Table) sendLimit() int {
 	return 3 * (bits.Len(uint(len(t.rows))) + 1)
 }
 
@@ -171,12 +171,12 @@
 func (t *Table) Tick(now time.Time) (Member, bool) {
 	t.ticks++
 	t.expire(now)
-	if t.ticks%t.options.ReviveEvery == 0 {
-		if m, ok := t.pick(func(m Member) bool { return m.State == Dead }); ok {
+	if t.ticks%t.options.DeadProbePeriods == 0 {
+		if m, ok := t.pickRandom(func(m Member) bool { return m.State == Dead }); ok {
 			return m, true
 		}
 	}
-	return t.probe()
+	return t.nextLive()
 }
 
 func (t *Table) expire(now time.Time) {
@@ -193,18 +193,18 @@
 	}
 }
 
-// probe returns the next live member of a round through a shuffled order, so
+// nextLive returns the next live member of a round through a shuffled order, so
 // that each is probed once a round.
-func (t *Table) probe() (Member, bool) {
+func (t *Table) nextLive() (Member, bool) {
 	for range len(t.order) {
-		if t.next >= len(t.order) {
-			t.next = 0
+		if t.nextIndex >= len(t.order) {
+			t.nextIndex = 0
 			t.random.Shuffle(len(t.order), func(i, j int) {
 				t.order[i], t.order[j] = t.order[j], t.order[i]
 			})
 		}
-		e := t.rows[t.order[t.next]]
-		t.next++
+		e := t.rows[t.order[t.nextIndex]]
+		t.nextIndex++
 		if e.State <= Suspect {
 			return e.Member, true
 		}
@@ -212,8 +212,8 @@
 	return Member{}, false
 }
 
-// pick returns one member at random for which f holds.
-func (t *Table) pick(f func(Member) bool) (Member, bool) {
+// pickRandom returns one member at random for which f holds.
+func (t *Table) pickRandom(f func(Member) bool) (Member, bool) {
 	var l []Member
 	for _, n := range t.order {
 		if m := t.rows[n].Member; f(m) {
@@ -230,7 +230,7 @@
 func (t *Table) Helpers(name string) []Member {
 	var l []Member
 	for range t.options.Helpers {
-		m, ok := t.pick(func(m Member) bool {
+		m, ok := t.pickRandom(func(m Member) bool {
 			return m.State == Alive && m.Name != name && !slices.Contains(l, m)
 		})
 		if !ok {
@@ -257,37 +257,37 @@
 func (t *Table) Leave() {
 	e := t.rows[t.self.Name]
 	e.State = Left
-	t.renew(e)
+	t.markNews(e)
 }
 
 // NewsFor returns the rows to hand on with the next message to the named member:
 // its own row, if it is not held to be alive, so that it can refute that, and
 // those that were handed on the least often.
 func (t *Table) NewsFor(name string) []Member {
-	l := t.news()
+	l := t.takeNews()
 	if e, ok := t.rows[name]; ok && e.State != Alive {
 		l = append(l, e.Member)
 	}
 	return l
 }
 
-func (t *Table) news() []Member {
+func (t *Table) takeNews() []Member {
 	var l []*entry
 	for _, e := range t.rows {
-		if e.sends > 0 {
+		if e.sendsLeft > 0 {
 			l = append(l, e)
 		}
 	}
 	slices.SortFunc(l, func(a, b *entry) int {
-		if a.sends != b.sends {
-			return b.sends - a.sends
+		if a.sendsLeft != b.sendsLeft {
+			return b.sendsLeft - a.sendsLeft
 		}
-		return b.change - a.change
+		return b.changeNumber - a.changeNumber
 	})
-	l = l[:min(len(l), t.options.News)]
+	l = l[:min(len(l), t.options.MaxNews)]
 	out := make([]Member, 0, len(l))
 	for _, e := range l {
-		e.sends--
+		e.sendsLeft--
 		out = append(out, e.Member)
 	}
 	return out
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -13,25 +13,25 @@
 // network is some entry hosts with tables of their own, between which messages
 // are lost, cut and delayed by freezes.
 type network struct {
-	t      *rapid.T
-	now    time.Time
-	tables []*Table
-	frozen map[int]bool
-	cut    map[int]bool
+	t           *rapid.T
+	now         time.Time
+	tables      []*Table
+	frozen      map[int]bool
+	partitioned map[int]bool
 	// sent counts the probes of each table.
 	sent []int
 	last []Member
 }
 
 func newNetwork(t *rapid.T, n int) *network {
-	w := &network{t: t, now: time.Unix(1e9, 0), frozen: map[int]bool{}, cut: map[int]bool{}}
+	w := &network{t: t, now: time.Unix(1e9, 0), frozen: map[int]bool{}, partitioned: map[int]bool{}}
 	for i := range n {
 		w.tables = append(w.tables, w.start(i))
 	}
 	w.sent = make([]int, n)
 	w.last = make([]Member, n)
 	for i := range n {
-		w.meet(i, 0)
+		w.exchangeTables(i, 0)
 	}
 	return w
 }
@@ -44,11 +44,11 @@
 // reaches reports whether a message from one gets to the other: a cut parts
 // the hosts into two sides.
 func (w *network) reaches(i, j int) bool {
-	return !w.frozen[i] && !w.frozen[j] && w.cut[i] == w.cut[j]
+	return !w.frozen[i] && !w.frozen[j] && w.partitioned[i] == w.partitioned[j]
 }
 
-// meet exchanges whole tables, as a start by seeds does.
-func (w *network) meet(i, j int) {
+// exchangeTables exchanges whole tables, as a start by seeds does.
+func (w *network) exchangeTables(i, j int) {
 	if w.reaches(i, j) {
 		w.tables[i].Merge(w.now, w.tables[j].Members())
 		w.tables[j].Merge(w.now, w.tables[i].Members())
@@ -77,20 +77,20 @@
 func (w *network) probe(i int, m Member) {
 	t := w.tables[i]
 	w.sent[i]++
-	if w.exchange(i, index(m)) {
+	if w.exchangeNews(i, index(m)) {
 		return
 	}
 	for _, h := range t.Helpers(m.Name) {
 		w.sent[i]++
-		if w.exchange(i, index(h)) && w.exchange(index(h), index(m)) {
+		if w.exchangeNews(i, index(h)) && w.exchangeNews(index(h), index(m)) {
 			return
 		}
 	}
 	t.Suspect(w.now, m)
 }
 
-// exchange hands news on both ways.
-func (w *network) exchange(i, j int) bool {
+// exchangeNews hands news on both ways.
+func (w *network) exchangeNews(i, j int) bool {
 	if !w.reaches(i, j) {
 		return false
 	}
@@ -108,16 +108,16 @@
 		if s.State != Alive {
 			t.Fatalf("%s takes itself to be %s", s.Name, s.State)
 		}
-		if w.last[i].Newer(s) {
+		if w.last[i].Supersedes(s) {
 			t.Fatalf("%s went back from version %d to %d", s.Name, w.last[i].Version, s.Version)
 		}
 		w.last[i] = s
 	}
 }
 
-// settled reports whether each running host holds exactly the running ones to
+// converged reports whether each running host holds exactly the running ones to
 // be alive and not suspected.
-func (w *network) settled() bool {
+func (w *network) converged() bool {
 	for i, v := range w.tables {
 		if w.frozen[i] {
 			continue
@@ -152,18 +152,18 @@
 			"long":   func(*rapid.T) { w.periods(10) },
 			"freeze": func(t *rapid.T) { w.frozen[host.Draw(t, "host")] = true },
 			"thaw":   func(t *rapid.T) { delete(w.frozen, host.Draw(t, "host")) },
-			"cut":    func(t *rapid.T) { w.cut[host.Draw(t, "host")] = true },
-			"heal":   func(*rapid.T) { w.cut = map[int]bool{} },
+			"cut":    func(t *rapid.T) { w.partitioned[host.Draw(t, "host")] = true },
+			"heal":   func(*rapid.T) { w.partitioned = map[int]bool{} },
 			"restart": func(t *rapid.T) {
 				i := host.Draw(t, "host")
 				w.tables[i] = w.start(i)
 				w.last[i] = Member{}
-				w.meet(i, host.Draw(t, "seed"))
+				w.exchangeTables(i, host.Draw(t, "seed"))
 			},
 		})
-		w.cut = map[int]bool{}
+		w.partitioned = map[int]bool{}
 		w.periods(40 * n)
-		if !w.settled() {
+		if !w.converged() {
 			for _, v := range w.tables {
 				t.Logf("%+v", v.Members())
 			}
@@ -189,7 +189,7 @@
 		alone := len(v.Live()) < 2
 		for j := range n {
 			if i != j && (alone || j == (i+1+turn%(n-1))%n) {
-				w.meet(i, j)
+				w.exchangeTables(i, j)
 			}
 		}
 	}
@@ -201,18 +201,18 @@
 	for _, n := range []int{3, 9, 30, 90} {
 		w := newNetwork(nil, n)
 		for i := range n {
-			w.meet(i, 0)
+			w.exchangeTables(i, 0)
 		}
 		w.periods(20)
 		start := 0
-		for ; !w.settled(); start++ {
+		for ; !w.converged(); start++ {
 			w.period()
 			require.Less(t, start, 200, "%d hosts", n)
 		}
 		w.sent = make([]int, n)
 		w.frozen[n-1] = true
 		periods := 0
-		for ; !w.settled(); periods++ {
+		for ; !w.converged(); periods++ {
 			w.period()
 			require.Less(t, periods, 60, "%d hosts", n)
 		}
@@ -227,18 +227,18 @@
 	}
 }
 
-// TestSidesOfACutFindEachOtherWithoutSeeds shows that members that hold each
+// TestHealedPartitionMergesWithoutSeeds shows that members that hold each
 // other to be dead come back by themselves once the cut heals.
-func TestSidesOfACutFindEachOtherWithoutSeeds(t *testing.T) {
+func TestHealedPartitionMergesWithoutSeeds(t *testing.T) {
 	w := newNetwork(nil, 4)
-	w.cut = map[int]bool{0: true, 1: true}
+	w.partitioned = map[int]bool{0: true, 1: true}
 	for range 40 {
 		w.period()
 	}
-	require.False(t, w.settled())
-	w.cut = map[int]bool{}
+	require.False(t, w.converged())
+	w.partitioned = map[int]bool{}
 	for range 60 {
 		w.period()
 	}
-	require.True(t, w.settled())
+	require.True(t, w.converged())
 }
--- a/request/accept.go
+++ b/request/accept.go
@@ -59,7 +59,7 @@
 
 // accept reads a request and checks it against the configuration.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*acceptedRequest, *common.ProblemError) {
-	q := &acceptedRequest{hasKey: r.Header.Get(common.HeaderKey) != ""}
+	q := &acceptedRequest{hasKey: r.Header.Get(common.HeaderIdempotencyKey) != ""}
 	for _, f := range []func(*http.Request, *acceptedRequest) *common.ProblemError{
 		s.acceptHop, s.acceptJob, s.acceptClass, s.acceptID, s.acceptDeadline,
 	} {
@@ -79,7 +79,7 @@
 func targetHeader(r *http.Request) http.Header {
 	h := http.Header{}
 	copyHeader(h, r.Header)
-	for _, k := range []string{common.HeaderHop, common.HeaderKey, common.HeaderID, "Content-Length"} {
+	for _, k := range []string{common.HeaderHop, common.HeaderIdempotencyKey, common.HeaderRequestID, "Content-Length"} {
 		h.Del(k)
 	}
 	return h
@@ -146,7 +146,7 @@
 		q.id = s.newID(r, q)
 		return nil
 	}
-	key := strings.Trim(r.Header.Get(common.HeaderKey), `"`)
+	key := strings.Trim(r.Header.Get(common.HeaderIdempotencyKey), `"`)
 	if v, ok := ParseIssued(key); ok && q.atMostOnce {
 		q.issued = &v
 		q.id = v.ID
@@ -154,7 +154,7 @@
 	}
 	id, err := uuid.Parse(key)
 	if q.atMostOnce && (err != nil || id.Version() != 7) {
-		return q.problem(http.StatusBadRequest, "bad "+common.HeaderKey,
+		return q.problem(http.StatusBadRequest, "bad "+common.HeaderIdempotencyKey,
 			"a request that may not be repeated needs an issued id or a UUID of version 7 (RFC 9562)", time.Time{})
 	}
 	if err != nil {
@@ -166,7 +166,7 @@
 
 // newID returns the id that the forwarding entry host gave the request, or a new one.
 func (s *Server) newID(r *http.Request, q *acceptedRequest) uuid.UUID {
-	if id, err := uuid.Parse(r.Header.Get(common.HeaderID)); q.forwarded && err == nil {
+	if id, err := uuid.Parse(r.Header.Get(common.HeaderRequestID)); q.forwarded && err == nil {
 		return id
 	}
 	return uuid.Must(uuid.NewV7())
@@ -175,7 +175,7 @@
 // acceptDeadline finds the time by which the answer has to be there.
 func (s *Server) acceptDeadline(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
-	q.deadline = now.Add(q.job.Patience)
+	q.deadline = now.Add(q.job.Timeout)
 	if v := r.Header.Get(common.HeaderDeadline); v != "" {
 		d, err := time.Parse(time.RFC3339Nano, v)
 		if err != nil {
@@ -183,7 +183,7 @@
 		}
 		q.deadline = d
 	}
-	if latest := now.Add(config.MaxPatience); q.deadline.After(latest) {
+	if latest := now.Add(config.MaxTimeout); q.deadline.After(latest) {
 		q.deadline = latest
 	}
 	if !q.deadline.After(now) {
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -18,7 +18,7 @@
 // attempt is one try to run a request on one target, with its use of a connection. It has
 // its own context, so that it can outlast its caller.
 type attempt struct {
-	common.Usage
+	common.InFlightCall
 	conns  *common.Connections
 	cancel context.CancelFunc
 	// conn describes the connection; nil until there is one.
@@ -53,7 +53,7 @@
 // trace records when the request gets a connection.
 func (t *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		t.conns.Begin(&t.Usage, i.Conn, nil)
+		t.conns.Begin(&t.InFlightCall, i.Conn, nil)
 		t.conn.Store(&connInfo{at: time.Now(), reused: i.Reused})
 	}}
 }
@@ -70,13 +70,13 @@
 func (t *attempt) distrustConn(ctx context.Context) {
 	c := t.conn.Load()
 	if c != nil && c.reused && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		t.conns.Distrust(&t.Usage, c.at, true)
+		t.conns.Distrust(&t.InFlightCall, c.at, true)
 	}
 }
 
 // release ends the use of the connection and cancels the attempt's context.
 func (t *attempt) release() {
-	t.conns.End(&t.Usage)
+	t.conns.End(&t.InFlightCall)
 	t.cancel()
 }
 
@@ -144,7 +144,7 @@
 
 // checkAnswerID returns an error if the answer belongs to another request.
 func checkAnswerID(res *http.Response, id string) error {
-	if got := res.Header.Get(common.HeaderID); got != "" && got != id {
+	if got := res.Header.Get(common.HeaderRequestID); got != "" && got != id {
 		return merry.Errorf("answer is for request %s", got)
 	}
 	return nil
--- a/request/bench_test.go
+++ b/request/bench_test.go
@@ -60,7 +60,7 @@
 
 // slowStore delays its answers, as the platform does.
 type slowStore struct {
-	*standin.Memory
+	*standin.FaultyStore
 	mu     sync.Mutex
 	writes atomic.Int64
 }
@@ -73,7 +73,7 @@
 	s.writes.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Memory.Swap(ctx, key, v, base)
+	return s.FaultyStore.Swap(ctx, key, v, base)
 }
 
 // BenchmarkClaims claims ids from 256 requests at once: batched by one shard with its
@@ -81,8 +81,8 @@
 func BenchmarkClaims(b *testing.B) {
 	perSecond := rate.Limit(float64(segmentWritesPerSecond) / claimShards)
 	b.Run("gathered", func(b *testing.B) {
-		m := &slowStore{Memory: standin.NewMemory()}
-		s := newShard(claimStore{m, 0}, perSecond, time.Now, common.Quiet().Log("bench"), func() {})
+		m := &slowStore{FaultyStore: standin.NewFaultyStore()}
+		s := newShard(claimStore{m, 0}, perSecond, time.Now, common.NopDeps().Log("bench"), func() {})
 		go s.run(b.Context())
 		claimAll(b, m, func(id uuid.UUID) {
 			p := pendingClaim{ctx: b.Context(), claim: Claim{ID: id, Attempt: 1}, done: make(chan ClaimOutcome, 1)}
@@ -93,7 +93,7 @@
 		})
 	})
 	b.Run("one-swap-each", func(b *testing.B) {
-		m := &slowStore{Memory: standin.NewMemory()}
+		m := &slowStore{FaultyStore: standin.NewFaultyStore()}
 		l := rate.NewLimiter(perSecond, 2)
 		claimAll(b, m, func(id uuid.UUID) {
 			if l.Wait(b.Context()) != nil {
@@ -137,8 +137,8 @@
 func BenchmarkReload(b *testing.B) {
 	for _, n := range []int{1000, 10000, 50000} {
 		b.Run(fmt.Sprintf("claims=%d", n), func(b *testing.B) {
-			m := standin.NewMemory()
-			s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.Quiet().Log("bench"), func() {})
+			m := standin.NewFaultyStore()
+			s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.NopDeps().Log("bench"), func() {})
 			for k := 0; k < n; k += 50 {
 				g := Segment{Write: "w", Committed: time.Now()}
 				for range 50 {
@@ -163,7 +163,7 @@
 func benchServer(b testing.TB, target netip.AddrPort) http.Handler {
 	b.Helper()
 	doc := &config.Document{
-		Services: []config.Service{{Name: "s", Pool: "p", Jobs: []config.Job{{Name: "job", Repeatable: true, Patience: time.Minute}}}},
+		Services: []config.Service{{Name: "s", Pool: "p", Jobs: []config.Job{{Name: "job", Repeatable: true, Timeout: time.Minute}}}},
 	}
 	s := NewScheduler(DefaultPolicy(), rand.New(rand.NewPCG(1, 2)))
 	s.SetServices([]ServiceSpec{{Name: "s", Pool: "p", Weight: 1}})
@@ -172,14 +172,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return NewServer(common.Quiet(), ServerOptions{
+	return NewServer(common.NopDeps(), ServerOptions{
 		Config:        func() *config.Snapshot { return &config.Snapshot{Document: doc} },
 		Dispatcher:    NewDispatcher(s, time.Now),
 		Runner:        NewForwarder(64),
 		Issuer:        NewIssuer("bench", 1),
 		Hosts:         fixedHost(target),
 		Metrics:       m,
-		PauseDetector: common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
+		PauseDetector: common.NewPauseDetector(func() time.Time { return time.Now().Add(time.Hour) }),
 	})
 }
 
--- a/request/callerlistener_test.go
+++ b/request/callerlistener_test.go
@@ -84,7 +84,7 @@
 // closed.
 func lostByCloseBefore(t *testing.T, callers int, next func(netip.AddrPort)) int64 {
 	t.Helper()
-	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.Unshared(), 0))
+	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.RandomAddr(), 0))
 	require.NoError(t, err)
 	s := &http.Server{Handler: http.NotFoundHandler(), ReadHeaderTimeout: time.Second}
 	go func() { _ = s.Serve(l) }()
--- a/request/callerstop_test.go
+++ b/request/callerstop_test.go
@@ -30,7 +30,7 @@
 // startCallerServer returns a running server for the handler, with its listener.
 func startCallerServer(t *testing.T, h http.HandlerFunc) (*CallerServer, *CallerListener) {
 	t.Helper()
-	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.Unshared(), 0))
+	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.RandomAddr(), 0))
 	require.NoError(t, err)
 	c := NewCallerServer(h, KeepAliveTimeout(0, stopWithin), IdleGrace)
 	go func() { _ = c.Serve(l) }()
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -33,7 +33,7 @@
 	now     time.Time
 	skew    []time.Duration
 	shards  []*shard
-	memory  *standin.Memory
+	memory  *standin.FaultyStore
 	ids     []uuid.UUID
 	runs    map[uuid.UUID]int
 	attempt uint64
@@ -43,7 +43,7 @@
 }
 
 func newClaimModel(t *rapid.T) *claimModel {
-	m := &claimModel{t: t, now: time.Unix(1e9, 0), memory: standin.NewMemory(), runs: map[uuid.UUID]int{}, busy: map[int]bool{}}
+	m := &claimModel{t: t, now: time.Unix(1e9, 0), memory: standin.NewFaultyStore(), runs: map[uuid.UUID]int{}, busy: map[int]bool{}}
 	m.memory.Decide = m.decide
 	for n := range rapid.IntRange(2, 3).Draw(t, "hosts") {
 		m.skew = append(m.skew, time.Duration(rapid.IntRange(0, 1000).Draw(t, "skew"))*time.Millisecond)
@@ -53,7 +53,7 @@
 }
 
 func (m *claimModel) newShard(n int) *shard {
-	s := newShard(claimStore{m.memory, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.Quiet().Log("test"), func() {})
+	s := newShard(claimStore{m.memory, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.NopDeps().Log("test"), func() {})
 	s.retryDelay = 0
 	return s
 }
@@ -65,16 +65,16 @@
 
 // decide draws the fate of one call, after a pause in which time passes and other hosts
 // act.
-func (m *claimModel) decide(bool) standin.Fate {
+func (m *claimModel) decide(bool) standin.Outcome {
 	if m.depth < 3 && rapid.IntRange(0, 9).Draw(m.t, "pause") == 0 {
 		m.depth++
 		m.advance()
 		m.claim()
 		m.depth--
 	}
-	fates := []standin.Fate{
-		standin.Fine, standin.Fine, standin.Fine, standin.Fine,
-		standin.NotSent, standin.LostBefore, standin.LostAfter, standin.Late,
+	fates := []standin.Outcome{
+		standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.Succeeds,
+		standin.NotSent, standin.RequestLost, standin.AnswerLost, standin.Delayed,
 	}
 	return rapid.SampledFrom(fates).Draw(m.t, "fate")
 }
@@ -139,7 +139,7 @@
 			"pass":    func(t *rapid.T) { m.t = t; m.advance() },
 			"trim":    func(t *rapid.T) { m.t = t; m.trim() },
 			"restart": func(t *rapid.T) { m.t = t; m.restart() },
-			"deliver": func(*rapid.T) { m.memory.Deliver() },
+			"deliver": func(*rapid.T) { m.memory.DeliverDelayed() },
 		})
 	})
 }
@@ -148,8 +148,8 @@
 // that its own repetition is.
 func TestClaimIsGrantedOnce(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	m := standin.NewMemory()
-	s := newShard(claimStore{m, 0}, rate.Inf, func() time.Time { return now }, common.Quiet().Log("test"), func() {})
+	m := standin.NewFaultyStore()
+	s := newShard(claimStore{m, 0}, rate.Inf, func() time.Time { return now }, common.NopDeps().Log("test"), func() {})
 	id := idCreatedAt(now, 1)
 	ask := func(attempt uint64) ClaimOutcome {
 		p := pendingClaim{ctx: context.Background(), claim: Claim{ID: id, Attempt: attempt}, done: make(chan ClaimOutcome, 1)}
@@ -180,8 +180,8 @@
 // platform outage does not take the id: the caller, who was told to retry with it, is
 // granted it then.
 func TestAbandonedClaimIsNotWritten(t *testing.T) {
-	m := standin.NewMemory()
-	s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.Quiet().Log("test"), func() {})
+	m := standin.NewFaultyStore()
+	s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.NopDeps().Log("test"), func() {})
 	id := idCreatedAt(time.Now(), 1)
 	abandoned, abandon := context.WithCancel(t.Context())
 	first := pendingClaim{ctx: abandoned, claim: Claim{ID: id, Attempt: 1}, done: make(chan ClaimOutcome, 1)}
--- a/request/claimer.go
+++ b/request/claimer.go
@@ -111,7 +111,7 @@
 // maxRemoteTries or more.
 func (c *Claimer) tryClaim(ctx context.Context, k Claim, n int) (ClaimOutcome, error) {
 	s := ShardOf(k.ID)
-	owner := common.First(shardPrefix(s), c.members.LiveNames(""))
+	owner := common.RankFirst(shardPrefix(s), c.members.LiveNames(""))
 	m, ok := c.members.Member(owner)
 	if owner == c.self || !ok || n >= maxRemoteTries {
 		return c.local(ctx, s, k)
--- a/request/detached_test.go
+++ b/request/detached_test.go
@@ -65,7 +65,7 @@
 	doc := &config.Document{
 		Pools: []config.Pool{{Name: "p"}},
 		Services: []config.Service{{Name: "s", Pool: "p", Weight: 1, Jobs: []config.Job{
-			{Name: "job", Repeatable: true, Patience: time.Minute},
+			{Name: "job", Repeatable: true, Timeout: time.Minute},
 		}}},
 	}
 	s := NewScheduler(DefaultPolicy(), rand.New(rand.NewPCG(1, 2)))
@@ -74,7 +74,7 @@
 	m, err := NewMetrics(noop.NewMeterProvider().Meter("test"))
 	require.NoError(t, err)
 	f := NewForwarder(8)
-	return NewServer(common.Quiet(), ServerOptions{
+	return NewServer(common.NopDeps(), ServerOptions{
 		Config:        func() *config.Snapshot { return &config.Snapshot{Document: doc} },
 		Dispatcher:    NewDispatcher(s, time.Now),
 		Runner:        f,
@@ -82,7 +82,7 @@
 		Relay:         NewRelay("north", "hop", func() []peers.Member { return nil }, f),
 		Issuer:        NewIssuer("e", 1),
 		Metrics:       m,
-		PauseDetector: common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
+		PauseDetector: common.NewPauseDetector(func() time.Time { return time.Now().Add(time.Hour) }),
 	})
 }
 
--- a/request/forward.go
+++ b/request/forward.go
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	copyHeader(req.Header, c.Header)
-	req.Header.Set(common.HeaderID, c.ID)
+	req.Header.Set(common.HeaderRequestID, c.ID)
 	req.ContentLength = int64(len(c.Body))
 	req.Body = t.newBody(c.Body)
 	req.GetBody = func() (io.ReadCloser, error) { return t.newBody(c.Body), nil }
--- a/request/handle.go
+++ b/request/handle.go
@@ -176,12 +176,12 @@
 // is refused.
 func (s *Server) awaitResume(ctx context.Context, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
-	for s.PauseDetector.Suspended(now) && now.Before(q.deadline) && ctx.Err() == nil {
+	for s.PauseDetector.Recovering(now) && now.Before(q.deadline) && ctx.Err() == nil {
 		common.Sleep(ctx, pausePollInterval)
 		now = s.deps.Now()
 	}
 	switch {
-	case s.PauseDetector.Suspended(now):
+	case s.PauseDetector.Recovering(now):
 		return q.problem(http.StatusServiceUnavailable, "this entry host was paused", "", now.Add(defaultRetryDelay))
 	case !now.Before(q.deadline) || (q.atMostOnce && !Fresh(now, q.id)):
 		return q.problem(http.StatusGatewayTimeout, "the deadline has passed", "", time.Time{})
--- a/request/paused_test.go
+++ b/request/paused_test.go
@@ -20,9 +20,9 @@
 	s := oneSlot(t, &slowTarget{})
 	var behind atomic.Int64
 	behind.Store(int64(2 * time.Second))
-	s.PauseDetector = common.NewPulse(func() time.Time { return time.Now().Add(-time.Duration(behind.Load())) })
+	s.PauseDetector = common.NewPauseDetector(func() time.Time { return time.Now().Add(-time.Duration(behind.Load())) })
 	behind.Store(0)
-	require.True(t, s.PauseDetector.Suspended(time.Now()))
+	require.True(t, s.PauseDetector.Recovering(time.Now()))
 
 	start := time.Now()
 	w := ask(t.Context(), s, 100*time.Millisecond)
--- a/request/policy_test.go
+++ b/request/policy_test.go
@@ -102,12 +102,12 @@
 
 // tallies count, by class, all requests and those answered in time.
 type tallies struct {
-	all    [common.Classes]int
-	inTime [common.Classes]int
+	all    [common.NumClasses]int
+	inTime [common.NumClasses]int
 }
 
 func (t *tallies) report(b *testing.B) {
-	for c := range common.Classes {
+	for c := range common.NumClasses {
 		b.ReportMetric(100*float64(t.inTime[c])/float64(t.all[c]), fmt.Sprintf("%s-in-time-%%", common.Class(c)))
 	}
 }
--- a/request/relay.go
+++ b/request/relay.go
@@ -59,12 +59,12 @@
 	c.Header.Set(common.HeaderDeadline, q.deadline.Format(time.RFC3339Nano))
 	c.Header.Set(common.HeaderClass, q.class.String())
 	c.Header.Set(common.HeaderRepeatable, strconv.FormatBool(!q.atMostOnce))
-	c.Header.Set(common.HeaderID, c.ID)
+	c.Header.Set(common.HeaderRequestID, c.ID)
 	switch {
 	case q.issued != nil:
-		c.Header.Set(common.HeaderKey, q.issued.String())
+		c.Header.Set(common.HeaderIdempotencyKey, q.issued.String())
 	case q.hasKey:
-		c.Header.Set(common.HeaderKey, c.ID)
+		c.Header.Set(common.HeaderIdempotencyKey, c.ID)
 	}
 	return s.runner.Run(ctx, m.Caller, c)
 }
--- a/request/scheduler.go
+++ b/request/scheduler.go
@@ -68,11 +68,11 @@
 	services    []*service
 	slots       int
 	// busy and waiting count requests by class.
-	busy    [common.Classes]int
-	waiting [common.Classes]int
+	busy    [common.NumClasses]int
+	waiting [common.NumClasses]int
 	// virtualTime is, for each class, the run time started so far divided by the class's
 	// share, as in weighted fair queueing.
-	virtualTime [common.Classes]float64
+	virtualTime [common.NumClasses]float64
 }
 
 // target is one target as this process sees it.
@@ -92,7 +92,7 @@
 // service is the queues of one service.
 type service struct {
 	ServiceSpec
-	queues [common.Classes]*queue
+	queues [common.NumClasses]*queue
 	// virtualTime is the run time started so far divided by the service's weight.
 	virtualTime float64
 }
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -211,7 +211,7 @@
 
 // check compares the scheduler's counts with the lists.
 func (m *schedulerModel) check(t *rapid.T) {
-	for c := range common.Classes {
+	for c := range common.NumClasses {
 		n := 0
 		for _, p := range m.s.pools {
 			n += p.waiting[c]
--- a/request/server.go
+++ b/request/server.go
@@ -136,7 +136,7 @@
 		n = min(r.ContentLength, MaxBody)
 	}
 	if !s.bufferedBodies.TryAcquire(n) {
-		q := &acceptedRequest{hasKey: r.Header.Get(common.HeaderKey) != ""}
+		q := &acceptedRequest{hasKey: r.Header.Get(common.HeaderIdempotencyKey) != ""}
 		s.writeProblem(w, q, q.problem(http.StatusServiceUnavailable, "too many bodies are held", "", start.Add(defaultRetryDelay)))
 		return
 	}
@@ -181,7 +181,7 @@
 // writeAnswer writes the target's answer to the caller.
 func (s *Server) writeAnswer(w http.ResponseWriter, q *acceptedRequest, result *attemptResult) error {
 	copyHeader(w.Header(), result.reply.Header)
-	w.Header().Set(common.HeaderID, q.id.String())
+	w.Header().Set(common.HeaderRequestID, q.id.String())
 	if w.Header().Get(common.HeaderVerdict) == "" || !result.relayed {
 		w.Header().Set(common.HeaderVerdict, verdictOf(result.reply.Status).String())
 	}
--- a/request/silence_test.go
+++ b/request/silence_test.go
@@ -30,7 +30,7 @@
 		}
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	for name, w := range map[string]proxy.Way{"both": proxy.Both, "answers": proxy.Answers} {
+	for name, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
 		t.Run(name, func(t *testing.T) {
 			p, err := proxy.New(netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")))
 			require.NoError(t, err)
--- a/request/verdict_test.go
+++ b/request/verdict_test.go
@@ -68,8 +68,8 @@
 	doc := &config.Document{
 		Pools: []config.Pool{{Name: "p"}},
 		Services: []config.Service{{Name: "s", Pool: "p", Weight: 1, Jobs: []config.Job{
-			{Name: "free", Repeatable: true, Patience: time.Minute},
-			{Name: "once", Class: common.Patient, Patience: time.Minute},
+			{Name: "free", Repeatable: true, Timeout: time.Minute},
+			{Name: "once", Class: common.Patient, Timeout: time.Minute},
 		}}},
 	}
 	s := NewScheduler(DefaultPolicy(), rand.New(rand.NewPCG(1, 2)))
@@ -79,7 +79,7 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	return NewServer(common.Quiet(), ServerOptions{
+	return NewServer(common.NopDeps(), ServerOptions{
 		Config:        func() *config.Snapshot { return &config.Snapshot{Document: doc} },
 		Dispatcher:    NewDispatcher(s, time.Now),
 		Claims:        m,
@@ -89,7 +89,7 @@
 		HopToken:      "hop",
 		Issuer:        NewIssuer(fmt.Sprint("e", n), 1),
 		Metrics:       metrics,
-		PauseDetector: common.NewPulse(func() time.Time { return time.Now().Add(time.Hour) }),
+		PauseDetector: common.NewPauseDetector(func() time.Time { return time.Now().Add(time.Hour) }),
 	})
 }
 
@@ -208,7 +208,7 @@
 	}
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("body"))
 	if id != "" {
-		r.Header.Set(common.HeaderKey, id)
+		r.Header.Set(common.HeaderIdempotencyKey, id)
 	}
 	w := httptest.NewRecorder()
 	start := time.Now()
@@ -228,7 +228,7 @@
 	if err != nil {
 		m.t.Fatalf("answer without a verdict: %v", err)
 	}
-	got := w.Header().Get(common.HeaderID)
+	got := w.Header().Get(common.HeaderRequestID)
 	if id == "" {
 		id = got
 	}
--- a/tests/crash_test.go
+++ b/tests/crash_test.go
@@ -12,50 +12,50 @@
 	"amberway/internal/standin/fleet"
 )
 
-// crashesBorne is how many workers one task may bring down: the users bear two starts
+// maxCrashes is how many workers one task may bring down: the users bear two starts
 // after three crashes.
-const crashesBorne = 5
+const maxCrashes = 5
 
 // failed is what callers get for a job that was given up.
 const failed = `200 {"state":"failed"}`
 
 // crashingJob has one task, which crashes each worker that starts it.
 func crashingJob() fleet.Job {
-	return fleet.Job{Spec: "crashes 1s", Steps: []fleet.Step{{Count: 1, CPU: 500, MemMB: 10, Estimate: 200}}}
+	return fleet.Job{Spec: "crashes 1s", Steps: []fleet.Step{{Count: 1, CPU: 500, MemMB: 10, EstimateMs: 200}}}
 }
 
-// handIn hands a job in to the pool blue.
-func handIn(t *testing.T, j *local.Jobs, id string, job fleet.Job) {
+// submit hands a job in to the pool blue.
+func submit(t *testing.T, j *local.JobsDeployment, id string, job fleet.Job) {
 	t.Helper()
 	code, body, err := j.Entries[0].Call(http.MethodPost, "blue", id, job)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code, body)
 }
 
-// TestTaskThatCrashesItsWorkersIsGivenUpWithItsJobOnly hands in a job that crashes its
+// TestTaskThatCrashesWorkersFailsOnlyItsJob hands in a job that crashes its
 // workers beside sound ones, and ends the owner at different moments on the way.
-func TestTaskThatCrashesItsWorkersIsGivenUpWithItsJobOnly(t *testing.T) {
+func TestTaskThatCrashesWorkersFailsOnlyItsJob(t *testing.T) {
 	for kills := range 3 {
 		t.Run(fmt.Sprint(kills, " owners killed"), func(t *testing.T) {
 			j := startJobs(t)
 			for n := range 3 {
-				handIn(t, j, jobID(10+n), shortJob("300ms"))
+				submit(t, j, jobID(10+n), shortJob("300ms"))
 			}
-			handIn(t, j, jobID(1), crashingJob())
+			submit(t, j, jobID(1), crashingJob())
 			task := jobID(1) + ".0.0.0"
 			for n := range kills {
-				require.Eventually(t, func() bool { return j.Fleet.Books.Crashes(task) > n }, jobsTime, time.Millisecond)
+				require.Eventually(t, func() bool { return j.Fleet.Checker.CrashCount(task) > n }, jobTimeout, time.Millisecond)
 				if o := j.Owner(); o != nil {
 					o.Kill()
 					require.NoError(t, j.Launch(o))
 				}
 			}
-			require.Eventually(t, func() bool { return state(t, j.Entries[1], "blue", jobID(1)) == failed }, jobsTime, tick)
+			require.Eventually(t, func() bool { return jobState(t, j.Entries[1], "blue", jobID(1)) == failed }, jobTimeout, pollInterval)
 			for n := range 3 {
-				require.Eventually(t, func() bool { return state(t, j.Entries[2], "blue", jobID(10+n)) == succeeded }, jobsTime, tick)
+				require.Eventually(t, func() bool { return jobState(t, j.Entries[2], "blue", jobID(10+n)) == succeeded }, jobTimeout, pollInterval)
 			}
-			t.Logf("%d workers crashed", j.Fleet.Books.Crashes(task))
-			require.LessOrEqual(t, j.Fleet.Books.Crashes(task), crashesBorne)
+			t.Logf("%d workers crashed", j.Fleet.Checker.CrashCount(task))
+			require.LessOrEqual(t, j.Fleet.Checker.CrashCount(task), maxCrashes)
 		})
 	}
 }
--- a/tests/deployment_test.go
+++ b/tests/deployment_test.go
@@ -21,8 +21,8 @@
 
 // How long tests wait for what has to come, and how often they look.
 const (
-	eventually = 5 * time.Second
-	tick       = 50 * time.Millisecond
+	waitTimeout  = 5 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -44,16 +44,16 @@
 	return m.Run()
 }
 
-// start runs two data centres with two entry hosts and three targets each, one
+// startDeployment runs two data centres with two entry hosts and three targets each, one
 // to a rack, with one pool that needs one host available in each.
-func start(t *testing.T) *local.Deployment {
+func startDeployment(t *testing.T) *local.Deployment {
 	t.Helper()
 	ctx := t.Context()
 	d, err := local.Start(ctx, binaries, t.TempDir(), local.Options{
 		DataCentres: []string{"north", "south"},
 		Entries:     2,
 		Targets:     map[string]int{"tint": 3},
-		Rack:        1,
+		RackSize:    1,
 	})
 	t.Cleanup(d.Stop)
 	require.NoError(t, err)
@@ -76,19 +76,19 @@
 func load(d *local.Deployment, count int) standin.Load {
 	return standin.Load{
 		Entries: d.URLs(),
-		Paths: []standin.Path{
-			{Path: "/tint/quick", Within: 2 * time.Second},
-			{Path: "/tint/once", Within: 8 * time.Second, Once: true, Run: 20 * time.Millisecond},
-			{Path: "/tint/patient", Within: 8 * time.Second, Run: 30 * time.Millisecond},
+		Requests: []standin.Request{
+			{Path: "/tint/quick", Timeout: 2 * time.Second},
+			{Path: "/tint/once", Timeout: 8 * time.Second, AtMostOnce: true, RunTime: 20 * time.Millisecond},
+			{Path: "/tint/patient", Timeout: 8 * time.Second, RunTime: 30 * time.Millisecond},
 		},
 		Count:    count,
 		Interval: 5 * time.Millisecond,
 	}
 }
 
-// requireTrue requires that no request that may not be repeated ran twice, and
+// requireConsistentRuns requires that no request that may not be repeated ran twice, and
 // that what each of their callers heard is what became of it.
-func requireTrue(t *testing.T, d *local.Deployment, s standin.Tally) {
+func requireConsistentRuns(t *testing.T, d *local.Deployment, s standin.LoadReport) {
 	t.Helper()
 	runs, err := d.RunsByID()
 	require.NoError(t, err)
@@ -102,5 +102,5 @@
 			require.LessOrEqual(t, runs[id], 1, id)
 		}
 	}
-	require.Zero(t, s.Crossed)
+	require.Zero(t, s.Mismatched)
 }
--- a/tests/failure_test.go
+++ b/tests/failure_test.go
@@ -16,10 +16,10 @@
 	"amberway/peers"
 )
 
-// during sends a load and calls f while it runs.
-func during(t *testing.T, d *local.Deployment, count int, f func()) standin.Tally {
+// runLoadDuring sends a load and calls f while it runs.
+func runLoadDuring(t *testing.T, d *local.Deployment, count int, f func()) standin.LoadReport {
 	t.Helper()
-	c := make(chan standin.Tally, 1)
+	c := make(chan standin.LoadReport, 1)
 	go func() { c <- standin.NewCaller().Run(t.Context(), load(d, count)) }()
 	time.Sleep(300 * time.Millisecond)
 	f()
@@ -27,55 +27,55 @@
 }
 
 func TestPlannedStopLosesNothing(t *testing.T) {
-	d := start(t)
-	s := during(t, d, 400, func() {
+	d := startDeployment(t)
+	s := runLoadDuring(t, d, 400, func() {
 		require.NoError(t, d.Entries[1].Signal(syscall.SIGTERM))
 		code, err := d.Entries[1].Wait(10 * time.Second)
 		require.NoError(t, err)
 		require.Zero(t, code)
 	})
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 }
 
-func TestKilledEntryHostDoublesNothing(t *testing.T) {
-	d := start(t)
-	s := during(t, d, 400, func() { d.Entries[1].Kill() })
-	requireTrue(t, d, s)
+func TestKilledEntryHostCausesNoDuplicateRuns(t *testing.T) {
+	d := startDeployment(t)
+	s := runLoadDuring(t, d, 400, func() { d.Entries[1].Kill() })
+	requireConsistentRuns(t, d, s)
 	// The balancer of the stand-in gives up on a request whose connection broke.
 	require.Less(t, s.Lost, 20, "%+v", s)
 	require.Zero(t, s.Late)
 }
 
-func TestFrozenEntryHostIsSurvivedAndComesBack(t *testing.T) {
-	d := start(t)
+func TestFrozenEntryHostCostsNoRequestAndRejoins(t *testing.T) {
+	d := startDeployment(t)
 	frozen := d.Entries[1]
 	require.NoError(t, frozen.Signal(syscall.SIGSTOP))
 	d.Entries = append(d.Entries[:1], d.Entries[2:]...)
 	requireState(t, d, frozen.Name, peers.Dead, 8*time.Second)
 	s := standin.NewCaller().Run(t.Context(), load(d, 200))
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 	require.NoError(t, frozen.Signal(syscall.SIGCONT))
 	d.Entries = append(d.Entries, frozen)
 	requireState(t, d, frozen.Name, peers.Alive, 20*time.Second)
 }
 
-// TestFrozenShardOwnerHoldsNoClaimUp freezes one entry host and sends requests
+// TestFrozenShardOwnerBlocksNoClaim freezes one entry host and sends requests
 // that may not be repeated through the others before anybody has noticed. Each
 // entry host serves some of the shards.
-func TestFrozenShardOwnerHoldsNoClaimUp(t *testing.T) {
-	d := start(t)
+func TestFrozenShardOwnerBlocksNoClaim(t *testing.T) {
+	d := startDeployment(t)
 	frozen := d.Entries[1]
 	require.NoError(t, frozen.Signal(syscall.SIGSTOP))
 	d.Entries = append(d.Entries[:1], d.Entries[2:]...)
 	s := standin.NewCaller().Run(t.Context(), standin.Load{
 		Entries: d.URLs(), Count: 60, Interval: 10 * time.Millisecond,
-		Paths: []standin.Path{{Path: "/tint/once", Within: 3 * time.Second, Once: true, Run: 5 * time.Millisecond}},
+		Requests: []standin.Request{{Path: "/tint/once", Timeout: 3 * time.Second, AtMostOnce: true, RunTime: 5 * time.Millisecond}},
 	})
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
-	t.Logf("the longest answer took %s", s.Longest.Round(time.Millisecond))
+	t.Logf("the longest answer took %s", s.MaxLatency.Round(time.Millisecond))
 	require.NoError(t, frozen.Signal(syscall.SIGCONT))
 	d.Entries = append(d.Entries, frozen)
 }
@@ -106,38 +106,38 @@
 	return peers.Left
 }
 
-func TestPlatformOutageIsServedThrough(t *testing.T) {
-	d := start(t)
-	require.NoError(t, d.Faults(standin.All, standin.Fault{Down: true}))
+func TestRequestsAreServedDuringPlatformOutage(t *testing.T) {
+	d := startDeployment(t)
+	require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{Down: true}))
 	s := standin.NewCaller().Run(t.Context(), standin.Load{
 		Entries: d.URLs(), Count: 100, Interval: 5 * time.Millisecond,
-		Paths: []standin.Path{{Path: "/tint/quick", Within: 2 * time.Second}},
+		Requests: []standin.Request{{Path: "/tint/quick", Timeout: 2 * time.Second}},
 	})
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 	s = standin.NewCaller().Run(t.Context(), standin.Load{
 		Entries: d.URLs(), Count: 20, Interval: 5 * time.Millisecond,
-		Paths: []standin.Path{{Path: "/tint/once", Within: 2 * time.Second, Once: true}},
+		Requests: []standin.Request{{Path: "/tint/once", Timeout: 2 * time.Second, AtMostOnce: true}},
 	})
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Zero(t, s.Lost, "%+v", s)
 	require.Equal(t, s.Sent, s.MayHaveRun, "%+v", s)
 
 	start := time.Now()
-	key := http.Header{common.HeaderKey: {uuid.Must(uuid.NewV7()).String()}}
+	key := http.Header{common.HeaderIdempotencyKey: {uuid.Must(uuid.NewV7()).String()}}
 	res := post(t, d.Entries[0], "/tint/once", "x", key.Clone())
 	require.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
 	require.NotEmpty(t, res.Header.Get("Retry-After"))
 	require.Less(t, time.Since(start), 4*time.Second, "a request that is given up on is answered at once")
-	requireIssued(t, d)
+	requireIssuedIDRunsOnce(t, d)
 
 	before, err := d.Stats()
 	require.NoError(t, err)
-	require.NoError(t, d.Faults(standin.All, standin.Fault{}))
+	require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{}))
 	require.Eventually(t, func() bool {
 		s = standin.NewCaller().Run(t.Context(), load(d, 30))
 		return s.Answered == s.Sent
 	}, 10*time.Second, 100*time.Millisecond)
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	res = post(t, d.Entries[1], "/tint/once", "x", key.Clone())
 	require.Equal(t, "ran", res.Header.Get(common.HeaderVerdict), "the caller who came back with the same id")
 	after, err := d.Stats()
@@ -145,9 +145,9 @@
 	require.Less(t, after.Reads-before.Reads, int64(400), "a storm of reads after the outage")
 }
 
-func TestEntryHostThatStartsInAnOutageServes(t *testing.T) {
-	d := start(t)
-	require.NoError(t, d.Faults(standin.All, standin.Fault{Down: true}))
+func TestEntryHostStartedDuringOutageServes(t *testing.T) {
+	d := startDeployment(t)
+	require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{Down: true}))
 	e := d.Entries[1]
 	e.Kill()
 	require.NoError(t, d.Launch(e))
@@ -158,60 +158,60 @@
 	require.Eventually(t, func() bool {
 		s := standin.NewCaller().Run(t.Context(), standin.Load{
 			Entries: []string{e.URL()}, Count: 20, Interval: 5 * time.Millisecond,
-			Paths: []standin.Path{{Path: "/tint/quick", Within: 2 * time.Second}},
+			Requests: []standin.Request{{Path: "/tint/quick", Timeout: 2 * time.Second}},
 		})
 		return s.Answered == s.Sent
 	}, 10*time.Second, 100*time.Millisecond)
 }
 
-func TestCutOffDataCentreGetsTheConfigurationFromPeers(t *testing.T) {
-	d := start(t)
-	require.NoError(t, d.Faults("south", standin.Fault{Down: true}))
+func TestPartitionedDataCentreGetsConfigurationFromPeers(t *testing.T) {
+	d := startDeployment(t)
+	require.NoError(t, d.SetPlatformFault("south", standin.Fault{Down: true}))
 	time.Sleep(300 * time.Millisecond)
 	took, err := d.Apply(t.Context(), document(d, 0), 1)
 	require.NoError(t, err)
 	t.Logf("in force everywhere after %s", took.Round(time.Millisecond))
 	require.Less(t, took, 4*time.Second)
 	s := standin.NewCaller().Run(t.Context(), load(d, 60))
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Zero(t, s.Lost, "%+v", s)
 }
 
-func TestLostAnswersOfThePlatformDoubleNothing(t *testing.T) {
-	d := start(t)
-	s := during(t, d, 400, func() {
-		require.NoError(t, d.Faults(standin.All, standin.Fault{LoseAnswers: true}))
+func TestLostPlatformAnswersCauseNoDuplicateRuns(t *testing.T) {
+	d := startDeployment(t)
+	s := runLoadDuring(t, d, 400, func() {
+		require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{LoseAnswers: true}))
 		time.Sleep(700 * time.Millisecond)
-		require.NoError(t, d.Faults(standin.All, standin.Fault{}))
+		require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{}))
 	})
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Zero(t, s.Lost, "%+v", s)
 	require.Greater(t, s.Answered, s.Sent*9/10, "%+v", s)
 }
 
 func TestCopiesThroughAllEntryHostsRunOnce(t *testing.T) {
-	d := start(t)
+	d := startDeployment(t)
 	const requests = 40
 	answers := make(chan map[string]int, requests)
 	for n := range requests {
-		go func() { answers <- copies(t, d, fmt.Sprint("body ", n)) }()
+		go func() { answers <- sendCopies(t, d, fmt.Sprint("body ", n)) }()
 	}
 	for range requests {
 		got := <-answers
 		require.Equal(t, 1, got["ran"], "%v", got)
 		require.Zero(t, got["not-run"], "%v", got)
 	}
-	doubled, err := d.Doubled()
+	doubled, err := d.DuplicateRuns()
 	require.NoError(t, err)
 	require.Empty(t, doubled)
 }
 
-func TestFailingTargetCostsLittle(t *testing.T) {
-	d := start(t)
-	require.NoError(t, d.Targets[0].Fault(standin.Fault{Fail: true}))
+func TestFailingTargetFailsFewRequests(t *testing.T) {
+	d := startDeployment(t)
+	require.NoError(t, d.Targets[0].SetFault(standin.Fault{FailAll: true}))
 	s := standin.NewCaller().Run(t.Context(), standin.Load{
 		Entries: d.URLs(), Count: 400, Interval: 3 * time.Millisecond,
-		Paths: []standin.Path{{Path: "/tint/quick", Within: 2 * time.Second}},
+		Requests: []standin.Request{{Path: "/tint/quick", Timeout: 2 * time.Second}},
 	})
 	require.Greater(t, s.Answered, s.Sent*98/100, "%+v", s)
 }
--- a/tests/jobs_test.go
+++ b/tests/jobs_test.go
@@ -17,27 +17,27 @@
 )
 
 // startJobs runs three entry hosts and two pools.
-func startJobs(t *testing.T) *local.Jobs {
+func startJobs(t *testing.T) *local.JobsDeployment {
 	t.Helper()
 	return startJobsOn(t, 4)
 }
 
 // startJobsOn starts a deployment with so many workers in the pool blue.
-func startJobsOn(t *testing.T, blue int) *local.Jobs {
+func startJobsOn(t *testing.T, blue int) *local.JobsDeployment {
 	t.Helper()
-	j, err := local.StartJobs(binaries, t.TempDir(), local.JobsOptions{
-		Entries: 3, Workers: map[string]int{"blue": blue, "green": 3}, Spare: 2,
+	j, err := local.StartJobsDeployment(binaries, t.TempDir(), local.JobsOptions{
+		Entries: 3, Workers: map[string]int{"blue": blue, "green": 3}, SpareMachines: 2,
 	})
 	t.Cleanup(j.Stop)
 	require.NoError(t, err)
-	t.Cleanup(func() { require.Empty(t, j.Fleet.Books.Broken()) })
+	t.Cleanup(func() { require.Empty(t, j.Fleet.Checker.Violations()) })
 	return j
 }
 
 func shortJob(spec string) fleet.Job {
 	return fleet.Job{Spec: spec, Steps: []fleet.Step{
-		{Count: 3, CPU: 1000, MemMB: 100, Estimate: 200},
-		{Count: 2, CPU: 1000, MemMB: 100, Estimate: 200, After: []int{0}},
+		{Count: 3, CPU: 1000, MemMB: 100, EstimateMs: 200},
+		{Count: 2, CPU: 1000, MemMB: 100, EstimateMs: 200, After: []int{0}},
 	}}
 }
 
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%016x", n+0xabc000)
 }
 
-func state(t *testing.T, e *local.JobsEntry, queue, id string) string {
+func jobState(t *testing.T, e *local.JobsEntry, queue, id string) string {
 	t.Helper()
 	code, body, err := e.Call(http.MethodGet, queue, id, nil)
 	if err != nil {
@@ -56,26 +56,26 @@
 
 const succeeded = `200 {"state":"succeeded"}`
 
-// jobsTime is how long tests wait for jobs: a change of owner takes two
+// jobTimeout is how long tests wait for jobs: a change of owner takes two
 // seconds, and a silent worker's lease four.
-const jobsTime = 25 * time.Second
+const jobTimeout = 25 * time.Second
 
-func TestJobRunsAndEveryEntryHostTellsOfIt(t *testing.T) {
+func TestJobStateIsTheSameOnEveryEntryHost(t *testing.T) {
 	j := startJobs(t)
 	code, body, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("100ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code, body)
 	for _, e := range j.Entries {
-		require.Eventually(t, func() bool { return state(t, e, "blue", jobID(1)) == succeeded }, jobsTime, tick)
+		require.Eventually(t, func() bool { return jobState(t, e, "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
 	}
 	code, _, err = j.Entries[1].Call(http.MethodPost, "blue", jobID(1), shortJob("100ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code, "a copy of an id is the same job")
-	require.Equal(t, succeeded, state(t, j.Entries[2], "blue", jobID(1)))
-	require.Equal(t, 5, j.Fleet.Books.Starts())
+	require.Equal(t, succeeded, jobState(t, j.Entries[2], "blue", jobID(1)))
+	require.Equal(t, 5, j.Fleet.Checker.StartCount())
 }
 
-func TestAnswersThatAreNotSuccess(t *testing.T) {
+func TestInvalidJobRequestsAreRejected(t *testing.T) {
 	j := startJobs(t)
 	e := j.Entries[0]
 	for name, c := range map[string]struct {
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestKilledOwnerLosesNoJobAndDoublesNone(t *testing.T) {
+func TestKilledOwnerLosesAndDuplicatesNoJob(t *testing.T) {
 	j := startJobs(t)
 	hand := func(from, to int) {
 		for n := from; n < to; n++ {
@@ -120,14 +120,14 @@
 	require.NotNil(t, o)
 	o.Kill()
 	require.NoError(t, j.Launch(o))
-	require.Eventually(t, o.Ready, jobsTime, tick)
+	require.Eventually(t, o.Ready, jobTimeout, pollInterval)
 	hand(10, 15)
 	for n := range 15 {
-		require.Eventually(t, func() bool { return state(t, j.Entries[n%3], "blue", jobID(n)) == succeeded }, jobsTime, tick, "job %d", n)
+		require.Eventually(t, func() bool { return jobState(t, j.Entries[n%3], "blue", jobID(n)) == succeeded }, jobTimeout, pollInterval, "job %d", n)
 	}
 }
 
-func TestFrozenOwnerThatWakesDoublesNothing(t *testing.T) {
+func TestResumedOwnerCausesNoDuplicateRuns(t *testing.T) {
 	j := startJobs(t)
 	for n := range 6 {
 		_, _, err := j.Entries[n%3].Call(http.MethodPost, "blue", jobID(n), shortJob("400ms"))
@@ -139,75 +139,75 @@
 	time.Sleep(4 * time.Second)
 	require.NoError(t, o.Signal(syscall.SIGCONT))
 	for n := range 6 {
-		require.Eventually(t, func() bool { return state(t, j.Entries[n%3], "blue", jobID(n)) == succeeded }, jobsTime, tick, "job %d", n)
+		require.Eventually(t, func() bool { return jobState(t, j.Entries[n%3], "blue", jobID(n)) == succeeded }, jobTimeout, pollInterval, "job %d", n)
 	}
 }
 
-func TestStoppedEntryHostHandsOnAtOnce(t *testing.T) {
+func TestStoppedOwnerHandsOverImmediately(t *testing.T) {
 	j := startJobs(t)
 	o := j.Owner()
 	require.NotNil(t, o)
 	require.NoError(t, o.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { n := j.Owner(); return n != nil && n != o }, time.Second, tick)
+	require.Eventually(t, func() bool { n := j.Owner(); return n != nil && n != o }, time.Second, pollInterval)
 	require.False(t, o.Ready())
 	code, err := o.Wait(6 * time.Second)
 	require.NoError(t, err)
 	require.Zero(t, code)
 }
 
-func TestStoreThatRefusesIsToldAtOnce(t *testing.T) {
+func TestStoreRefusalIsReportedImmediately(t *testing.T) {
 	j := startJobs(t)
-	j.Fleet.Store.SetFault(fleet.Fault{Refuse: true})
+	j.Fleet.Store.SetFault(fleet.StoreFault{Refuse: true})
 	begun := time.Now()
 	code, body, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, code, body)
 	require.Less(t, time.Since(begun), time.Second)
-	j.Fleet.Store.SetFault(fleet.Fault{})
+	j.Fleet.Store.SetFault(fleet.StoreFault{})
 	time.Sleep(2 * time.Second)
-	require.Zero(t, j.Fleet.Books.Starts(), "a refused job has run")
-	require.Equal(t, `410 `, state(t, j.Entries[0], "blue", jobID(1))[:4])
+	require.Zero(t, j.Fleet.Checker.StartCount(), "a refused job has run")
+	require.Equal(t, `410 `, jobState(t, j.Entries[0], "blue", jobID(1))[:4])
 }
 
-func TestJobWhoseWriteWasNotAnsweredRunsOnce(t *testing.T) {
+func TestJobWhoseStoreWriteIsUnansweredRunsOnce(t *testing.T) {
 	j := startJobs(t)
-	j.Fleet.Store.SetFault(fleet.Fault{Lose: true})
+	j.Fleet.Store.SetFault(fleet.StoreFault{LoseAnswers: true})
 	code, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, code, "whether it was taken cannot be known")
-	j.Fleet.Store.SetFault(fleet.Fault{})
+	j.Fleet.Store.SetFault(fleet.StoreFault{})
 	code, _, err = j.Entries[1].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code)
-	require.Eventually(t, func() bool { return state(t, j.Entries[1], "blue", jobID(1)) == succeeded }, jobsTime, tick)
-	require.Equal(t, 5, j.Fleet.Books.Starts())
+	require.Eventually(t, func() bool { return jobState(t, j.Entries[1], "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
+	require.Equal(t, 5, j.Fleet.Checker.StartCount())
 }
 
-func TestForgottenHistoryLosesNoJob(t *testing.T) {
+func TestStoreCompactionLosesNoJob(t *testing.T) {
 	j := startJobs(t)
 	for n := range 10 {
 		if n%3 == 0 {
-			j.Fleet.Store.Forget()
+			j.Fleet.Store.Compact()
 		}
 		code, _, err := j.Entries[n%3].Call(http.MethodPost, "green", jobID(n), shortJob("20ms"))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, code)
 	}
 	for n := range 10 {
-		require.Eventually(t, func() bool { return state(t, j.Entries[n%3], "green", jobID(n)) == succeeded }, jobsTime, tick)
+		require.Eventually(t, func() bool { return jobState(t, j.Entries[n%3], "green", jobID(n)) == succeeded }, jobTimeout, pollInterval)
 	}
 }
 
-func TestSilentWorkerRunsOnAndNothingIsDoubled(t *testing.T) {
+func TestSilentWorkerCausesNoDuplicateRuns(t *testing.T) {
 	j := startJobs(t)
 	for n := range 4 {
 		_, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(n), shortJob("1s"))
 		require.NoError(t, err)
 	}
-	require.Eventually(t, func() bool { return j.Fleet.Books.Running() > 0 }, jobsTime, tick)
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() > 0 }, jobTimeout, pollInterval)
 	require.NotEmpty(t, j.Fleet.Silence(6*time.Second))
 	for n := range 4 {
-		require.Eventually(t, func() bool { return state(t, j.Entries[0], "blue", jobID(n)) == succeeded }, jobsTime, tick)
+		require.Eventually(t, func() bool { return jobState(t, j.Entries[0], "blue", jobID(n)) == succeeded }, jobTimeout, pollInterval)
 	}
 }
 
@@ -216,49 +216,49 @@
 	long := fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: 3, CPU: 500, MemMB: 10, Daemon: true}}}
 	_, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), long)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return j.Fleet.Books.Running() == 3 }, jobsTime, tick)
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() == 3 }, jobTimeout, pollInterval)
 	code, _, err := j.Entries[1].Call(http.MethodDelete, "blue", jobID(1), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code)
-	require.Eventually(t, func() bool { return j.Fleet.Books.Running() == 0 }, 3*time.Second, tick)
-	require.Equal(t, `200 {"state":"cancelled"}`, state(t, j.Entries[2], "blue", jobID(1)))
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() == 0 }, 3*time.Second, pollInterval)
+	require.Equal(t, `200 {"state":"cancelled"}`, jobState(t, j.Entries[2], "blue", jobID(1)))
 }
 
 func TestConfigurationIsInForceInTime(t *testing.T) {
 	j := startJobs(t)
 	require.NoError(t, j.Configure("violet"))
 	for _, e := range j.Entries {
-		require.Eventually(t, func() bool { return state(t, e, "violet", "")[:3] == "200" }, 2*time.Second, tick)
+		require.Eventually(t, func() bool { return jobState(t, e, "violet", "")[:3] == "200" }, 2*time.Second, pollInterval)
 	}
 	require.NoError(t, j.Configure())
 	for _, e := range j.Entries {
-		require.Eventually(t, func() bool { return state(t, e, "violet", "")[:3] == "404" }, 2*time.Second, tick)
+		require.Eventually(t, func() bool { return jobState(t, e, "violet", "")[:3] == "404" }, 2*time.Second, pollInterval)
 	}
 }
 
-func TestWaveMaintainsAllWithinItsCap(t *testing.T) {
+func TestWaveMaintainsAllMachinesWithinMaxDown(t *testing.T) {
 	j := startJobs(t)
 	names := j.Fleet.Names("")
-	require.NoError(t, j.Fleet.AskWave(7, names, 20*time.Second, 2))
+	require.NoError(t, j.Fleet.RequestWave(7, names, 20*time.Second, 2))
 	require.Eventually(t, func() bool {
 		return j.Fleet.WaveState(7) == `{"state":"succeeded"}`
-	}, jobsTime, tick)
-	require.LessOrEqual(t, j.Fleet.MostDown(7), 2)
+	}, jobTimeout, pollInterval)
+	require.LessOrEqual(t, j.Fleet.MaxDown(7), 2)
 }
 
 func TestCrashedWorkersTasksRunElsewhere(t *testing.T) {
 	j := startJobs(t)
 	_, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("1s"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return j.Fleet.Books.Running() > 0 }, jobsTime, tick)
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() > 0 }, jobTimeout, pollInterval)
 	require.NotEmpty(t, j.Fleet.Crash(time.Second))
-	require.Eventually(t, func() bool { return state(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobsTime, tick)
+	require.Eventually(t, func() bool { return jobState(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
 }
 
-// TestOwnerWhoseKeyIsTakenAwayStartsNoJobThatCameLater takes the owner's key
+// TestOwnerThatLostItsKeyStartsNoLaterJob takes the owner's key
 // away while its lease, its watches and its way to the workers are good, as the
 // platform does now and then.
-func TestOwnerWhoseKeyIsTakenAwayStartsNoJobThatCameLater(t *testing.T) {
+func TestOwnerThatLostItsKeyStartsNoLaterJob(t *testing.T) {
 	j := startJobs(t)
 	n := 0
 	for range 8 {
@@ -273,9 +273,9 @@
 		}
 	}
 	for i := range n {
-		require.Eventually(t, func() bool { return state(t, j.Entries[i%3], "green", jobID(i)) == succeeded }, jobsTime, tick)
+		require.Eventually(t, func() bool { return jobState(t, j.Entries[i%3], "green", jobID(i)) == succeeded }, jobTimeout, pollInterval)
 	}
-	require.Empty(t, j.Fleet.Books.Broken())
+	require.Empty(t, j.Fleet.Checker.Violations())
 }
 
 func TestToolShowsQueuesAndExplainsAJob(t *testing.T) {
@@ -283,7 +283,7 @@
 	long := fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: 3, CPU: 500, MemMB: 10, Daemon: true}}}
 	_, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), long)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return j.Fleet.Books.Running() == 3 }, jobsTime, tick)
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() == 3 }, jobTimeout, pollInterval)
 	for _, e := range j.Entries {
 		var out, errs bytes.Buffer
 		code := commands.RunTool([]string{"queues", "--entry", e.Peers.String()}, &out, &errs)
--- a/tests/operations_test.go
+++ b/tests/operations_test.go
@@ -46,26 +46,26 @@
 
 func TestCauseOfARefusedJobIsFoundFromItsID(t *testing.T) {
 	j := startJobs(t)
-	j.Fleet.Store.SetFault(fleet.Fault{Refuse: true})
+	j.Fleet.Store.SetFault(fleet.StoreFault{Refuse: true})
 	code, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.Eventually(t, func() bool {
 		l := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
 		return strings.Contains(l, `"msg":"intake"`) && strings.Contains(l, `"verdict":"not-run"`) && strings.Contains(l, "status 503")
-	}, 2*time.Second, tick)
+	}, 2*time.Second, pollInterval)
 }
 
 func TestCauseOfALateJobIsFoundFromItsID(t *testing.T) {
 	j := startJobs(t)
 	_, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), fleet.Job{
-		Spec: "3s", Steps: []fleet.Step{{Count: 1, CPU: 1000, MemMB: 10, Estimate: 3000}},
+		Spec: "3s", Steps: []fleet.Step{{Count: 1, CPU: 1000, MemMB: 10, EstimateMs: 3000}},
 	})
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return j.Fleet.Books.Running() == 1 }, jobsTime, tick)
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() == 1 }, jobTimeout, pollInterval)
 	worker := j.Fleet.Silence(8 * time.Second)
 	require.NotEmpty(t, worker)
-	require.Eventually(t, func() bool { return state(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobsTime, tick)
+	require.Eventually(t, func() bool { return jobState(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
 	story := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
 	require.Equal(t, 2, strings.Count(story, `"msg":"start"`), story)
 	require.Contains(t, story, `"msg":"run gone"`)
@@ -76,10 +76,10 @@
 func TestCauseOfAFailedJobIsFoundFromItsID(t *testing.T) {
 	j := startJobs(t)
 	_, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), fleet.Job{
-		Spec: "20ms fails", Steps: []fleet.Step{{Count: 1, CPU: 1000, MemMB: 10, Estimate: 20}},
+		Spec: "20ms fails", Steps: []fleet.Step{{Count: 1, CPU: 1000, MemMB: 10, EstimateMs: 20}},
 	})
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return state(t, j.Entries[1], "blue", jobID(1)) == `200 {"state":"failed"}` }, jobsTime, tick)
+	require.Eventually(t, func() bool { return jobState(t, j.Entries[1], "blue", jobID(1)) == `200 {"state":"failed"}` }, jobTimeout, pollInterval)
 	story := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
 	require.Contains(t, story, `"msg":"job failed"`)
 	require.Contains(t, story, jobID(1)+".0.0.0 has failed as often as its queue allows")
--- a/tests/operator_test.go
+++ b/tests/operator_test.go
@@ -18,9 +18,9 @@
 	"amberway/internal/local"
 )
 
-// ctl runs amberwayctl against the entry host and returns its exit code and
+// runCtl runs amberwayctl against the entry host and returns its exit code and
 // what it printed.
-func ctl(t *testing.T, e *local.Entry, args ...string) (code int, out, errs string) {
+func runCtl(t *testing.T, e *local.Entry, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, f bytes.Buffer
 	c := exec.CommandContext(t.Context(), filepath.Join(binaries, "amberwayctl"), args...)
@@ -31,8 +31,8 @@
 	return c.ProcessState.ExitCode(), o.String(), f.String()
 }
 
-// file writes a document and returns its name.
-func file(t *testing.T, doc []byte) string {
+// writeDocument writes a document and returns its name.
+func writeDocument(t *testing.T, doc []byte) string {
 	t.Helper()
 	n := filepath.Join(t.TempDir(), "fleet.yaml")
 	require.NoError(t, os.WriteFile(n, doc, 0o600))
@@ -40,11 +40,11 @@
 }
 
 func TestOperatorsTool(t *testing.T) {
-	d := start(t)
+	d := startDeployment(t)
 	e := d.Entries[0]
-	code, out, errs := ctl(t, e, "--json", "config", "apply", "--wait", "--base", "1", file(t, document(d, 0)))
+	code, out, errs := runCtl(t, e, "--json", "config", "apply", "--wait", "--base", "1", writeDocument(t, document(d, 0)))
 	require.Zero(t, code, errs)
-	var a admin.Applied
+	var a admin.ApplyResult
 	require.NoError(t, json.Unmarshal([]byte(out), &a))
 	require.Equal(t, int64(2), a.Generation)
 	for _, v := range d.Entries {
@@ -52,41 +52,41 @@
 		require.NoError(t, err)
 		require.Equal(t, int64(2), c.Generation, "--wait came back too early for %s", v.Name)
 	}
-	code, _, errs = ctl(t, e, "config", "apply", "--base", "1", file(t, document(d, 2)))
+	code, _, errs = runCtl(t, e, "config", "apply", "--base", "1", writeDocument(t, document(d, 2)))
 	require.Equal(t, 3, code)
 	require.Contains(t, errs, "base generation 1 is stale, 2 is in force")
 	require.Contains(t, errs, "pool/tint")
-	code, _, errs = ctl(t, e, "wave", "start", "nothing")
+	code, _, errs = runCtl(t, e, "wave", "start", "nothing")
 	require.Equal(t, 1, code)
 	require.Contains(t, errs, `there is no wave "nothing"`)
-	code, _, errs = ctl(t, e, "host", "drain", "nobody")
+	code, _, errs = runCtl(t, e, "host", "drain", "nobody")
 	require.Equal(t, 1, code)
 	require.Contains(t, errs, "no such host")
 	for _, c := range []string{"status", "pool", "host", "job", "wave", "dump", "config show"} {
-		code, out, errs = ctl(t, e, strings.Fields(c)...)
+		code, out, errs = runCtl(t, e, strings.Fields(c)...)
 		require.Zero(t, code, "%s: %s", c, errs)
 		require.NotEmpty(t, out, c)
 	}
-	_, _, errs = ctl(t, e, "config", "apply", "--wait", file(t, document(d, 3)))
+	_, _, errs = runCtl(t, e, "config", "apply", "--wait", writeDocument(t, document(d, 3)))
 	require.Empty(t, errs)
-	code, _, errs = ctl(t, e, "host", "drain", "tint-north-0")
+	code, _, errs = runCtl(t, e, "host", "drain", "tint-north-0")
 	require.Zero(t, code, errs)
 	for _, v := range d.Entries[:2] {
 		require.Eventually(t, func() bool {
-			_, out, _ := ctl(t, v, "host")
+			_, out, _ := runCtl(t, v, "host")
 			return strings.Contains(out, "the budget of pool tint does not allow it")
-		}, eventually, tick, "%s tells what the host waits for", v.Name)
+		}, waitTimeout, pollInterval, "%s tells what the host waits for", v.Name)
 	}
-	code, out, _ = ctl(t, e, "config", "plan", file(t, document(d, 1)))
+	code, out, _ = runCtl(t, e, "config", "plan", writeDocument(t, document(d, 1)))
 	require.Zero(t, code)
 	require.Contains(t, out, "wave kernel")
-	code, _, errs = ctl(t, e, "--token", "guess", "status")
+	code, _, errs = runCtl(t, e, "--token", "guess", "status")
 	require.Equal(t, 1, code)
 	require.Contains(t, errs, "a bearer token is needed")
 }
 
 func TestOperatorsRaceOnOneConfiguration(t *testing.T) {
-	d := start(t)
+	d := startDeployment(t)
 	const operators = 12
 	won := make([]int64, operators)
 	var g sync.WaitGroup
@@ -112,12 +112,12 @@
 		require.Eventually(t, func() bool {
 			c, err := e.Client().Config(t.Context())
 			return err == nil && c.Generation == 2 && c.Document.Operator == fmt.Sprint("local-", winner)
-		}, eventually, tick, e.Name)
+		}, waitTimeout, pollInterval, e.Name)
 	}
 }
 
-func TestListenersShowWhatTheyShould(t *testing.T) {
-	d := start(t)
+func TestOperatorEndpointsNeedAToken(t *testing.T) {
+	d := startDeployment(t)
 	base := "http://" + d.Entries[0].Admin.String()
 	for path, want := range map[string]int{
 		"/healthz": http.StatusOK, "/readyz": http.StatusOK, "/metrics": http.StatusOK,
--- a/tests/pause_test.go
+++ b/tests/pause_test.go
@@ -13,14 +13,14 @@
 	"amberway/internal/standin"
 )
 
-// TestPausedEntryHostDoesNotActOnWhatItKnew freezes an entry host while a
+// TestPausedEntryHostDoesNotActOnStaleState freezes an entry host while a
 // request that may not be repeated waits for its claim, lets its deadline pass,
 // and has a copy run elsewhere.
-func TestPausedEntryHostDoesNotActOnWhatItKnew(t *testing.T) {
-	d := start(t)
-	require.NoError(t, d.Faults(standin.All, standin.Fault{Slow: 1500}))
+func TestPausedEntryHostDoesNotActOnStaleState(t *testing.T) {
+	d := startDeployment(t)
+	require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{DelayMs: 1500}))
 	id := uuid.Must(uuid.NewV7()).String()
-	h := http.Header{common.HeaderKey: {id}, common.HeaderDeadline: {time.Now().Add(3 * time.Second).Format(time.RFC3339Nano)}}
+	h := http.Header{common.HeaderIdempotencyKey: {id}, common.HeaderDeadline: {time.Now().Add(3 * time.Second).Format(time.RFC3339Nano)}}
 	first := make(chan string, 1)
 	go func() {
 		res := post(t, d.Entries[0], "/tint/once", "x", h.Clone())
@@ -29,7 +29,7 @@
 	time.Sleep(700 * time.Millisecond)
 	require.NoError(t, d.Entries[0].Signal(syscall.SIGSTOP))
 	time.Sleep(4 * time.Second)
-	require.NoError(t, d.Faults(standin.All, standin.Fault{}))
+	require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{}))
 	h.Del(common.HeaderDeadline)
 	second := post(t, d.Entries[2], "/tint/once", "x", h)
 	require.NoError(t, d.Entries[0].Signal(syscall.SIGCONT))
--- a/tests/removal_test.go
+++ b/tests/removal_test.go
@@ -22,9 +22,9 @@
 const lastingTasks = 4
 
 // allRun reports whether all tasks of a lasting job run.
-func allRun(j *local.Jobs, id string) bool {
+func allRun(j *local.JobsDeployment, id string) bool {
 	for x := range lastingTasks {
-		if !j.Fleet.Books.Runs(fmt.Sprintf("%s.0.0.%d", id, x)) {
+		if !j.Fleet.Checker.IsRunning(fmt.Sprintf("%s.0.0.%d", id, x)) {
 			return false
 		}
 	}
@@ -33,14 +33,14 @@
 
 // Times of the next owner's way to the tasks of a removed host.
 const (
-	// killedAfter is how long after a host was removed its owner is killed: it
+	// ownerKillDelay is how long after a host was removed its owner is killed: it
 	// has not given up the host's lease by then.
-	killedAfter = time.Second
-	// restartedWithin is how long after the kill lasting tasks have to be at work
+	ownerKillDelay = time.Second
+	// restartTimeout is how long after the kill lasting tasks have to be at work
 	// again: the owner's lease ends after 1.5 s, the next one takes over within
 	// half a second, and the last lease that a worker got before the kill is over
 	// 4.2 s after it on a slow clock. The rest is slack.
-	restartedWithin = 8 * time.Second
+	restartTimeout = 8 * time.Second
 )
 
 // TestLastingTasksOfARemovedHostAreRestartedByTheNextOwner takes a host with
@@ -56,32 +56,32 @@
 			code, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), lastingJob())
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, code)
-			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobsTime, tick)
+			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobTimeout, pollInterval)
 			id, _ := j.Fleet.MostLasting()
-			require.Eventually(t, func() bool { return rostered(j, id) }, jobsTime, tick)
+			require.Eventually(t, func() bool { return inRoster(j, id) }, jobTimeout, pollInterval)
 
 			require.NoError(t, j.Fleet.Remove(id, r))
 			require.False(t, allRun(j, jobID(1)))
-			time.Sleep(killedAfter)
+			time.Sleep(ownerKillDelay)
 			require.False(t, allRun(j, jobID(1)), "the next owner is to start them")
 			o := j.Owner()
 			require.NotNil(t, o)
 			o.Kill()
 			begun := time.Now()
-			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobsTime, tick)
+			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobTimeout, pollInterval)
 			took := time.Since(begun)
 			t.Logf("at work %s after the owner's kill", took.Round(time.Millisecond))
-			require.Less(t, took, restartedWithin)
+			require.Less(t, took, restartTimeout)
 		})
 	}
 }
 
-// rosterParts is in how many parts the store holds what an owner tells the next.
-const rosterParts = 64
+// rosterShards is in how many parts the store holds what an owner tells the next.
+const rosterShards = 64
 
-// rostered reports whether the store tells the next owner of the worker.
-func rostered(j *local.Jobs, id string) bool {
-	for part := range rosterParts {
+// inRoster reports whether the store tells the next owner of the worker.
+func inRoster(j *local.JobsDeployment, id string) bool {
+	for part := range rosterShards {
 		b, _ := j.Fleet.Store.Value(fmt.Sprintf("owner/workers/%02d", part))
 		if id != "" && strings.Contains(string(b), id) {
 			return true
--- a/tests/request_test.go
+++ b/tests/request_test.go
@@ -19,16 +19,16 @@
 	"amberway/platform"
 )
 
-// copies sends the same request that may not be repeated twice through each
+// sendCopies sends the same request that may not be repeated twice through each
 // entry host at once, and counts the verdicts.
-func copies(t *testing.T, d *local.Deployment, body string) map[string]int {
+func sendCopies(t *testing.T, d *local.Deployment, body string) map[string]int {
 	id := uuid.Must(uuid.NewV7()).String()
 	got := map[string]int{}
 	var mu sync.Mutex
 	var g sync.WaitGroup
 	for n := range 2 * len(d.Entries) {
 		g.Go(func() {
-			v := post(t, d.Entries[n%len(d.Entries)], "/tint/once", body, http.Header{common.HeaderKey: {id}})
+			v := post(t, d.Entries[n%len(d.Entries)], "/tint/once", body, http.Header{common.HeaderIdempotencyKey: {id}})
 			mu.Lock()
 			defer mu.Unlock()
 			got[v.Header.Get(common.HeaderVerdict)]++
@@ -54,31 +54,31 @@
 	return res
 }
 
-func TestCutAnswersAreNeverTakenForWhole(t *testing.T) {
-	d := start(t)
+func TestTruncatedAnswersAreDetected(t *testing.T) {
+	d := startDeployment(t)
 	for _, v := range d.Targets {
-		require.NoError(t, v.Fault(standin.Fault{Half: true}))
+		require.NoError(t, v.SetFault(standin.Fault{TruncateAnswers: true}))
 	}
-	small := post(t, d.Entries[0], "/tint/once", "x", http.Header{common.HeaderKey: {uuid.Must(uuid.NewV7()).String()}})
+	small := post(t, d.Entries[0], "/tint/once", "x", http.Header{common.HeaderIdempotencyKey: {uuid.Must(uuid.NewV7()).String()}})
 	require.Equal(t, http.StatusBadGateway, small.StatusCode)
 	require.Equal(t, "may-have-run", small.Header.Get(common.HeaderVerdict))
-	large := post(t, d.Entries[0], "/tint/quick", "x", http.Header{standin.HeaderSize: {"1000000"}})
+	large := post(t, d.Entries[0], "/tint/quick", "x", http.Header{standin.HeaderPadding: {"1000000"}})
 	_, err := io.ReadAll(large.Body)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestLargeAnswersComeWhole(t *testing.T) {
-	d := start(t)
+func TestLargeAnswersArriveComplete(t *testing.T) {
+	d := startDeployment(t)
 	const size = 5 << 20
-	res := post(t, d.Entries[0], "/tint/quick", "x", http.Header{standin.HeaderSize: {"5242880"}})
+	res := post(t, d.Entries[0], "/tint/quick", "x", http.Header{standin.HeaderPadding: {"5242880"}})
 	b, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
-	require.Equal(t, standin.Expect("/tint/quick", []byte("x"), size), string(b))
+	require.Equal(t, standin.ExpectedAnswer("/tint/quick", []byte("x"), size), string(b))
 	require.Equal(t, "ran", res.Header.Get(common.HeaderVerdict))
 }
 
 func TestBadRequestsAreRefusedWithTheReason(t *testing.T) {
-	d := start(t)
+	d := startDeployment(t)
 	cases := []struct {
 		path   string
 		header http.Header
@@ -87,7 +87,7 @@
 		{"/nobody/quick", nil, http.StatusNotFound},
 		{"/tint/nothing", nil, http.StatusNotFound},
 		{"/tint/once", nil, http.StatusBadRequest},
-		{"/tint/once", http.Header{common.HeaderKey: {"6b6c4e5e-1111-4111-8111-111111111111"}}, http.StatusBadRequest},
+		{"/tint/once", http.Header{common.HeaderIdempotencyKey: {"6b6c4e5e-1111-4111-8111-111111111111"}}, http.StatusBadRequest},
 		{"/tint/quick", http.Header{common.HeaderDeadline: {"soon"}}, http.StatusBadRequest},
 		{"/tint/quick", http.Header{common.HeaderClass: {"urgent"}}, http.StatusBadRequest},
 		{"/tint/quick", http.Header{common.HeaderHop: {"guess"}}, http.StatusForbidden},
@@ -105,8 +105,8 @@
 	}
 }
 
-func TestRequestsSpillToTheOtherDataCentre(t *testing.T) {
-	d := start(t)
+func TestRequestsAreRelayedToTheOtherDataCentre(t *testing.T) {
+	d := startDeployment(t)
 	for _, h := range d.Targets {
 		if h.Host.DataCentre == "north" {
 			h.Host.Live = false
@@ -120,52 +120,52 @@
 }
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	d := start(t)
+	d := startDeployment(t)
 	leaving := d.Targets[0]
 	var told time.Time
-	s := during(t, d, 1000, func() {
+	s := runLoadDuring(t, d, 1000, func() {
 		leaving.Host.Leaving = true
 		require.NoError(t, d.SetHosts(t.Context(), []platform.Host{leaving.Host}))
 		told = time.Now()
 	})
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 	r, err := leaving.Runs()
 	require.NoError(t, err)
-	require.Less(t, r.Last.Sub(told), 3*time.Second)
+	require.Less(t, r.LastStart.Sub(told), 3*time.Second)
 }
 
-func TestWaveUnderLoadCutsOffNothing(t *testing.T) {
-	d := start(t)
+func TestWaveUnderLoadInterruptsNoRequest(t *testing.T) {
+	d := startDeployment(t)
 	r, err := d.Entries[0].Client().SetWave(t.Context(), "kernel", "running")
 	require.NoError(t, err)
 	require.Equal(t, int64(2), r.Generation)
 	s := standin.NewCaller().Run(t.Context(), load(d, 2000))
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 	done := func(h admin.Host) bool { return h.State == fleet.InService && len(h.Done) == 1 }
 	require.NoError(t, d.WaitHosts(t.Context(), 60*time.Second, 3, done))
 }
 
-// placed is a document whose quick job is held by one of the pool's hosts.
-func placed(d *local.Deployment, replicas string) []byte {
+// placedDocument is a document whose quick job is held by one of the pool's hosts.
+func placedDocument(d *local.Deployment, replicas string) []byte {
 	doc := string(document(d, 1))
 	return []byte(strings.Replace(doc, "run_time: 5ms}", "run_time: 5ms, processors: 4, replicas: "+replicas+"}", 1))
 }
 
-func TestPlacedJobMovesWithTheDrainOfItsHost(t *testing.T) {
-	d := start(t)
+func TestDrainMovesPlacedJob(t *testing.T) {
+	d := startDeployment(t)
 	c := d.Entries[0].Client()
-	p, err := c.Preview(t.Context(), placed(d, "9"))
+	p, err := c.Preview(t.Context(), placedDocument(d, "9"))
 	require.NoError(t, err)
 	require.Contains(t, p.Unplaced["tint/quick"], "3 of 9 replicas placed")
-	_, err = d.Apply(t.Context(), placed(d, "1"), 1)
+	_, err = d.Apply(t.Context(), placedDocument(d, "1"), 1)
 	require.NoError(t, err)
-	first := holder(t, c, "")
+	first := waitHolder(t, c, "")
 	res := post(t, d.Entries[0], "/tint/quick", "x", http.Header{})
 	require.Equal(t, http.StatusOK, res.StatusCode)
 	require.NoError(t, c.Hold(t.Context(), first, true))
-	second := holder(t, c, first)
+	second := waitHolder(t, c, first)
 	require.NotEqual(t, first, second)
 	before, err := targetNamed(d, second).Runs()
 	require.NoError(t, err)
@@ -176,8 +176,8 @@
 	}, 5*time.Second, 50*time.Millisecond)
 }
 
-// holder waits for one host other than the named one to hold the quick job.
-func holder(t *testing.T, c *admin.Client, but string) string {
+// waitHolder waits for one host other than the named one to hold the quick job.
+func waitHolder(t *testing.T, c *admin.Client, but string) string {
 	t.Helper()
 	var name string
 	require.Eventually(t, func() bool {
@@ -200,9 +200,9 @@
 	return nil
 }
 
-// requireIssued requires that a request with an issued id runs, once, through
+// requireIssuedIDRunsOnce requires that a request with an issued id runs, once, through
 // whichever entry host it comes.
-func requireIssued(t *testing.T, d *local.Deployment) {
+func requireIssuedIDRunsOnce(t *testing.T, d *local.Deployment) {
 	t.Helper()
 	res := post(t, d.Entries[0], "/ids", "", http.Header{})
 	b, err := io.ReadAll(res.Body)
@@ -210,7 +210,7 @@
 	id := strings.TrimSpace(string(b))
 	got := map[string]int{}
 	for _, e := range d.Entries {
-		v := post(t, e, "/tint/once", "x", http.Header{common.HeaderKey: {id}})
+		v := post(t, e, "/tint/once", "x", http.Header{common.HeaderIdempotencyKey: {id}})
 		got[v.Header.Get(common.HeaderVerdict)]++
 	}
 	require.Equal(t, map[string]int{"ran": 1, "may-have-run": len(d.Entries) - 1}, got)
--- a/tests/silence_test.go
+++ b/tests/silence_test.go
@@ -12,14 +12,14 @@
 	"amberway/internal/soak"
 )
 
-// startLinkedJobs runs six entry hosts that reach the platform by links, and
+// startJobsOverLinks runs six entry hosts that reach the platform by links, and
 // returns the links.
-func startLinkedJobs(t *testing.T) (*local.Jobs, []*soak.Link) {
+func startJobsOverLinks(t *testing.T) (*local.JobsDeployment, []*soak.Link) {
 	t.Helper()
 	var links []*soak.Link
-	j, err := local.StartJobs(binaries, t.TempDir(), local.JobsOptions{
-		Entries: 6, Workers: map[string]int{"blue": 4, "green": 3}, Spare: 2,
-		Via: func(_, address string) (string, error) {
+	j, err := local.StartJobsDeployment(binaries, t.TempDir(), local.JobsOptions{
+		Entries: 6, Workers: map[string]int{"blue": 4, "green": 3}, SpareMachines: 2,
+		ProxyAddress: func(_, address string) (string, error) {
 			k, err := soak.NewLink(address)
 			if err != nil {
 				return "", err
@@ -40,7 +40,7 @@
 func TestConfigurationIsInForceInTimeAfterConnectionsFellSilent(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
-			j, links := startLinkedJobs(t)
+			j, links := startJobsOverLinks(t)
 			for _, queues := range [][]string{{"violet"}, nil, {"violet"}} {
 				for _, k := range links {
 					k.Silence(oneWay)
@@ -50,9 +50,9 @@
 				var wg sync.WaitGroup
 				for _, e := range j.Entries {
 					wg.Go(func() {
-						took := inForce(t, e, len(queues) > 0, accepted)
+						took := waitConfig(t, e, len(queues) > 0, accepted)
 						t.Logf("%s has it after %s", e.Name, took.Round(10*time.Millisecond))
-						if took > configuredWithin {
+						if took > configTimeout {
 							t.Errorf("%s has the configuration only after %s", e.Name, took)
 						}
 					})
@@ -64,15 +64,15 @@
 	}
 }
 
-// configuredWithin is when a configuration has to be in force that is accepted as
+// configTimeout is when a configuration has to be in force that is accepted as
 // connections fall silent: it has two seconds at entry hosts in touch, and they are
 // that once their connections have been good for three.
-const configuredWithin = 3 * time.Second
+const configTimeout = 3 * time.Second
 
-// inForce returns how long after its acceptance the entry host has the
+// waitConfig returns how long after its acceptance the entry host has the
 // configuration, by whether it knows the queue violet.
-func inForce(t *testing.T, e *local.JobsEntry, there bool, accepted time.Time) time.Duration {
-	for time.Since(accepted) < eventually {
+func waitConfig(t *testing.T, e *local.JobsEntry, there bool, accepted time.Time) time.Duration {
+	for time.Since(accepted) < waitTimeout {
 		sent := time.Since(accepted)
 		if known, ok := hasQueue(t, e); ok && known == there {
 			return sent
@@ -85,6 +85,6 @@
 // hasQueue reports whether the entry host knows the queue violet, if it says so. It
 // tells a queue that it does not know from an id that is none.
 func hasQueue(t *testing.T, e *local.JobsEntry) (known, ok bool) {
-	a := state(t, e, "violet", "none")
+	a := jobState(t, e, "violet", "none")
 	return !strings.Contains(a, "no such queue"), strings.HasPrefix(a, "404 ")
 }
--- a/tests/slots_test.go
+++ b/tests/slots_test.go
@@ -11,33 +11,33 @@
 	"amberway/internal/standin"
 )
 
-// saturating is more load than two targets of eight slots can run in 50 ms each.
-func saturating(d *local.Deployment, count int) standin.Load {
+// overload is more load than two targets of eight slots can run in 50 ms each.
+func overload(d *local.Deployment, count int) standin.Load {
 	return standin.Load{
 		Entries: d.URLs(), Count: count, Interval: 1560 * time.Microsecond,
-		Paths: []standin.Path{{Path: "/tint/quick", Within: time.Second, Run: 50 * time.Millisecond}},
+		Requests: []standin.Request{{Path: "/tint/quick", Timeout: time.Second, RunTime: 50 * time.Millisecond}},
 	}
 }
 
-// over returns how many runs began on targets with all slots taken, and how
+// runsOverLimit returns how many runs began on targets with all slots taken, and how
 // many ran in all.
-func over(t *testing.T, d *local.Deployment) (beyond, all int) {
+func runsOverLimit(t *testing.T, d *local.Deployment) (beyond, all int) {
 	t.Helper()
 	for _, v := range d.Targets {
 		r, err := v.Runs()
 		require.NoError(t, err)
-		beyond += r.Over
+		beyond += r.OverLimit
 		all += len(r.ByID)
 	}
 	return beyond, all
 }
 
-// startSlots runs three entry hosts over two targets.
-func startSlots(t *testing.T) *local.Deployment {
+// startSlotDeployment runs three entry hosts over two targets.
+func startSlotDeployment(t *testing.T) *local.Deployment {
 	t.Helper()
 	ctx := t.Context()
 	d, err := local.Start(ctx, binaries, t.TempDir(), local.Options{
-		DataCentres: []string{"north"}, Entries: 3, Targets: map[string]int{"tint": 2}, Rack: 1,
+		DataCentres: []string{"north"}, Entries: 3, Targets: map[string]int{"tint": 2}, RackSize: 1,
 	})
 	t.Cleanup(d.Stop)
 	require.NoError(t, err)
@@ -53,23 +53,23 @@
 // hosts, and then kills one of them and starts it again under load.
 func TestSlotsAreSharedWithoutBeingExceeded(t *testing.T) {
 	ctx := t.Context()
-	d := startSlots(t)
-	s := standin.NewCaller().Run(ctx, saturating(d, 2000))
-	beyond, all := over(t, d)
+	d := startSlotDeployment(t)
+	s := standin.NewCaller().Run(ctx, overload(d, 2000))
+	beyond, all := runsOverLimit(t, d)
 	t.Logf("overload: %d of %d runs began beyond the slots; %d of %d in time, the longest after %s",
-		beyond, all, s.Answered, s.Sent, s.Longest)
+		beyond, all, s.Answered, s.Sent, s.MaxLatency)
 	require.Zero(t, beyond)
 	require.Zero(t, s.Lost, "%+v", s)
 
 	e := d.Entries[2]
-	c := make(chan standin.Tally, 1)
-	go func() { c <- standin.NewCaller().Run(ctx, saturating(d, 6000)) }()
+	c := make(chan standin.LoadReport, 1)
+	go func() { c <- standin.NewCaller().Run(ctx, overload(d, 6000)) }()
 	time.Sleep(time.Second)
 	e.Kill()
 	time.Sleep(5 * time.Second)
 	require.NoError(t, d.Launch(e))
 	s = <-c
-	beyond, more := over(t, d)
+	beyond, more := runsOverLimit(t, d)
 	t.Logf("a kill and a start: %d of %d runs began beyond the slots", beyond, more-all)
 	require.Less(t, beyond, (more-all)/100)
 
@@ -78,20 +78,20 @@
 	require.NoError(t, err)
 }
 
-// TestSlotsOfAPausedEntryHostStayItsOwn pauses one of three entry hosts under
+// TestPausedEntryHostKeepsItsSlotShare pauses one of three entry hosts under
 // more load than the targets can run, for longer than the others need to take
 // it for dead, and lets it go on.
-func TestSlotsOfAPausedEntryHostStayItsOwn(t *testing.T) {
-	d := startSlots(t)
+func TestPausedEntryHostKeepsItsSlotShare(t *testing.T) {
+	d := startSlotDeployment(t)
 	e := d.Entries[2]
-	c := make(chan standin.Tally, 1)
-	go func() { c <- standin.NewCaller().Run(t.Context(), saturating(d, 6000)) }()
+	c := make(chan standin.LoadReport, 1)
+	go func() { c <- standin.NewCaller().Run(t.Context(), overload(d, 6000)) }()
 	time.Sleep(time.Second)
 	require.NoError(t, e.Signal(syscall.SIGSTOP))
 	time.Sleep(5 * time.Second)
 	require.NoError(t, e.Signal(syscall.SIGCONT))
 	<-c
-	beyond, all := over(t, d)
+	beyond, all := runsOverLimit(t, d)
 	t.Logf("a pause: %d of %d runs began beyond the slots", beyond, all)
 	require.Zero(t, beyond)
 }
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -28,12 +28,12 @@
 	{20000, 15 * time.Second, false, true, true, "a host was moved back by an order that came after a newer one of the same fence"},
 }
 
-func TestPromisesHoldInTheSoak(t *testing.T) {
+func TestSoakFindsNoViolation(t *testing.T) {
 	for _, s := range soakSeeds {
 		t.Run(fmt.Sprint("seed-", s.seed), func(t *testing.T) {
-			r, err := soak.Do(soak.Options{Seed: s.seed, For: s.lasts, Entries: 4, Workers: 5, Crashing: s.crashing, Lasting: s.lasting, LateHosts: s.lateHosts, Bin: binaries, Dir: t.TempDir(), Out: io.Discard})
+			r, err := soak.Do(soak.Options{Seed: s.seed, Duration: s.lasts, Entries: 4, Workers: 5, CrashingJobs: s.crashing, DisruptionBudgets: s.lasting, DelayMachineOrders: s.lateHosts, BinDir: binaries, LogDir: t.TempDir(), Out: io.Discard})
 			require.NoError(t, err)
-			require.Empty(t, r.Broken, s.cause)
+			require.Empty(t, r.Violations, s.cause)
 			require.Positive(t, r.Counts["succeeded"])
 		})
 	}
--- a/tests/stop_test.go
+++ b/tests/stop_test.go
@@ -16,27 +16,27 @@
 	"amberway/internal/standin/fleet"
 )
 
-// keptConn is a connection to an entry host that its caller keeps open.
-type keptConn struct {
-	*local.Kept
+// keepAliveConn is a connection to an entry host that its caller keeps open.
+type keepAliveConn struct {
+	*local.KeepAliveConn
 }
 
-func keep(t *testing.T, at netip.AddrPort) *keptConn {
+func dialKeepAlive(t *testing.T, at netip.AddrPort) *keepAliveConn {
 	t.Helper()
-	k, err := local.Keep(at, time.Now().Add(20*time.Second))
+	k, err := local.DialKeepAlive(at, time.Now().Add(20*time.Second))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = k.Close() })
-	return &keptConn{k}
+	return &keepAliveConn{k}
 }
 
-// ask sends one request and reads its answer to the end.
-func (k *keptConn) ask() error {
+// postQuick sends one request and reads its answer to the end.
+func (k *keepAliveConn) postQuick() error {
 	return k.send("POST /tint/quick HTTP/1.1\r\nHost: entry\r\nContent-Length: 4\r\n\r\nbody", "/tint/quick ")
 }
 
 // send sends a request and reads its answer, which has to begin with a text, to the end.
-func (k *keptConn) send(request, begins string) error {
-	a, err := k.Ask(request)
+func (k *keepAliveConn) send(request, begins string) error {
+	a, err := k.RoundTrip(request)
 	if err != nil {
 		return err
 	}
@@ -46,35 +46,35 @@
 	return nil
 }
 
-// TestPlannedStopServesConnectionsThatAreKept sends requests on connections that
+// TestPlannedStopServesKeepAliveConnections sends requests on connections that
 // have been idle, one after the other, from the signal to stop on until well
 // after the host has been taken out: each has to be answered.
-func TestPlannedStopServesConnectionsThatAreKept(t *testing.T) {
-	d := start(t)
+func TestPlannedStopServesKeepAliveConnections(t *testing.T) {
+	d := startDeployment(t)
 	e := d.Entries[1]
-	var l []*keptConn
+	var l []*keepAliveConn
 	for range 60 {
-		k := keep(t, e.Callers)
-		require.NoError(t, k.ask())
+		k := dialKeepAlive(t, e.Callers)
+		require.NoError(t, k.postQuick())
 		l = append(l, k)
 	}
 	require.NoError(t, e.Signal(syscall.SIGTERM))
 	for i, k := range l {
 		time.Sleep(20 * time.Millisecond)
-		require.NoError(t, k.ask(), "connection %d", i)
+		require.NoError(t, k.postQuick(), "connection %d", i)
 	}
 	code, err := e.Wait(10 * time.Second)
 	require.NoError(t, err)
 	require.Zero(t, code)
 }
 
-// TestPlannedStopOfAHostThatIsHeldUpLosesNothing guards against requests lost where the
+// TestPlannedStopOfStalledHostLosesNothing guards against requests lost where the
 // process that stops gets no time again and again: what it finds then has come long before,
 // and its own waits are over.
-func TestPlannedStopOfAHostThatIsHeldUpLosesNothing(t *testing.T) {
-	d := start(t)
+func TestPlannedStopOfStalledHostLosesNothing(t *testing.T) {
+	d := startDeployment(t)
 	e := d.Entries[1]
-	s := during(t, d, 400, func() {
+	s := runLoadDuring(t, d, 400, func() {
 		require.NoError(t, e.Signal(syscall.SIGTERM))
 		for range 4 {
 			time.Sleep(150 * time.Millisecond)
@@ -86,19 +86,19 @@
 		require.NoError(t, err)
 		require.Zero(t, code)
 	})
-	requireTrue(t, d, s)
+	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 }
 
-// TestPlannedStopOfAJobsHostServesConnectionsThatAreKept is the same for an entry host
+// TestPlannedStopOfJobsHostServesKeepAliveConnections is the same for an entry host
 // that serves jobs.
-func TestPlannedStopOfAJobsHostServesConnectionsThatAreKept(t *testing.T) {
+func TestPlannedStopOfJobsHostServesKeepAliveConnections(t *testing.T) {
 	j := startJobs(t)
 	e := j.Entries[1]
 	waiting := fmt.Sprintf("GET %sblue/ HTTP/1.1\r\nHost: %s\r\n\r\n", fleet.QueuePrefix, fleet.JobsHost)
-	var l []*keptConn
+	var l []*keepAliveConn
 	for range 40 {
-		k := keep(t, e.Callers)
+		k := dialKeepAlive(t, e.Callers)
 		require.NoError(t, k.send(waiting, "{"))
 		l = append(l, k)
 	}
@@ -112,26 +112,26 @@
 	require.Zero(t, code)
 }
 
-// TestPlannedStopAnswersOperatorsThatPause guards against an operator's call on a kept
+// TestPlannedStopAnswersIdleOperatorConnections guards against an operator's call on a kept
 // connection that is reset by the stop, so that nobody knows whether it was carried out.
-func TestPlannedStopAnswersOperatorsThatPause(t *testing.T) {
-	e := start(t).Entries[1]
-	requireStopAnswersAfterAPause(t, e.Process, e.Admin, "/healthz", "alive")
+func TestPlannedStopAnswersIdleOperatorConnections(t *testing.T) {
+	e := startDeployment(t).Entries[1]
+	requireStopAnswersIdleConnection(t, e.Process, e.Admin, "/healthz", "alive")
 }
 
-// TestPlannedStopAnswersOtherEntryHostsThatPause guards against a call between entry hosts
+// TestPlannedStopAnswersIdlePeerConnections guards against a call between entry hosts
 // that is lost since the stopping one has closed the kept connection it comes on: a host
 // that has not heard of the next owner asks the one that stops.
-func TestPlannedStopAnswersOtherEntryHostsThatPause(t *testing.T) {
+func TestPlannedStopAnswersIdlePeerConnections(t *testing.T) {
 	e := startJobs(t).Entries[1]
-	requireStopAnswersAfterAPause(t, e.Process, e.Peers, "/metrics", "#")
+	requireStopAnswersIdleConnection(t, e.Process, e.Peers, "/metrics", "#")
 }
 
-// requireStopAnswersAfterAPause requires that a process that is told to stop answers on a
+// requireStopAnswersIdleConnection requires that a process that is told to stop answers on a
 // connection that was idle for longer than the stop takes where nobody uses any.
-func requireStopAnswersAfterAPause(t *testing.T, p *local.Process, at netip.AddrPort, path, begins string) {
+func requireStopAnswersIdleConnection(t *testing.T, p *local.Process, at netip.AddrPort, path, begins string) {
 	t.Helper()
-	k := keep(t, at)
+	k := dialKeepAlive(t, at)
 	call := fmt.Sprintf("GET %s HTTP/1.1\r\nHost: entry\r\n\r\n", path)
 	require.NoError(t, k.send(call, begins))
 	require.NoError(t, p.Signal(syscall.SIGTERM))
@@ -142,10 +142,10 @@
 	require.Zero(t, code)
 }
 
-// TestEntryHostThatStartsAgainFindsItsAddressFree guards against deployments of other
+// TestRestartedEntryHostFindsItsAddressFree guards against deployments of other
 // processes that take the port of an entry host while it is down: its callers reached the
 // other one, heard of jobs that were not theirs, and it could not start.
-func TestEntryHostThatStartsAgainFindsItsAddressFree(t *testing.T) {
+func TestRestartedEntryHostFindsItsAddressFree(t *testing.T) {
 	j := startJobs(t)
 	e := j.Entries[1]
 	e.Kill()
@@ -153,5 +153,5 @@
 	require.NoError(t, err)
 	defer l.Close()
 	require.NoError(t, j.Launch(e))
-	require.Eventually(t, e.Ready, eventually, tick)
+	require.Eventually(t, e.Ready, waitTimeout, pollInterval)
 }
