--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -7,36 +7,38 @@
 	"amberway/platform"
 )
 
-// MaxListAge is the age from which the host list counts as unknown. What is
-// unknown is not available.
+// MaxListAge is the age beyond which the host list is stale. With a stale list, no
+// host counts as available.
 const MaxListAge = 2 * time.Minute
 
-// PoolCapacity is what a pool has in one data centre.
+// PoolCapacity counts the hosts of a pool in one data centre.
 type PoolCapacity struct {
-	// Available is the number of hosts that are in service, listed as live and
-	// not about to leave.
+	// Available is the number of hosts that are in service, and that the host
+	// list has as live and not leaving.
 	Available int `json:"available"`
-	// MinAvailable is the pool's allowance.
+	// MinAvailable is the number of available hosts that the budget requires.
 	MinAvailable int `json:"need"`
-	// LargestRack is the most available hosts that stand in one rack.
+	// LargestRack is the largest number of available hosts in one rack.
 	LargestRack int `json:"largest_rack"`
-	// Hosts is the number of rows of the pool.
+	// Hosts is the number of hosts assigned to the pool, in any state.
 	Hosts int `json:"hosts"`
+	// racks counts the available hosts of each rack.
 	racks map[string]int
 }
 
-// Buffer is what is held back above the allowance.
+// Buffer returns the number of available hosts above the required minimum.
 func (t PoolCapacity) Buffer() int {
 	return max(0, t.Available-t.MinAvailable)
 }
 
-// BudgetExhausted reports whether failures alone have used the budget up.
+// BudgetExhausted reports whether fewer hosts are available than the budget
+// requires. As no drain may cause that, failures have.
 func (t PoolCapacity) BudgetExhausted() bool {
 	return t.Available < t.MinAvailable
 }
 
-// allowsDrain reports whether the pool keeps its allowance without one host of the
-// rack, and after the loss of any one whole rack besides.
+// allowsDrain reports whether a host of the rack may be drained: without it, the
+// pool must still have its required minimum after the loss of any one whole rack.
 func (t PoolCapacity) allowsDrain(rack string) bool {
 	left := t.Available - 1
 	largest := 0
@@ -49,14 +51,14 @@
 	return left-largest >= t.MinAvailable
 }
 
-// remove takes one host of the rack out.
+// remove subtracts one available host of the rack.
 func (t *PoolCapacity) remove(rack string) {
 	t.Available--
 	t.racks[rack]--
 	t.updateLargestRack()
 }
 
-// add adds one host of the rack.
+// add counts one more available host of the rack.
 func (t *PoolCapacity) add(rack string) {
 	t.Available++
 	t.racks[rack]++
@@ -70,7 +72,8 @@
 	}
 }
 
-// PoolCapacities counts every pool of the document in the data centre.
+// PoolCapacities returns the capacity of each pool of the document in the data
+// centre, by pool name. With a stale list, no host counts as available.
 func PoolCapacities(now time.Time, d *config.Document, dc string, r Record, l platform.HostList) map[string]*PoolCapacity {
 	m := map[string]*PoolCapacity{}
 	for _, p := range d.Pools {
@@ -93,7 +96,8 @@
 	return m
 }
 
-// IsListStale reports whether the list is too old to tell what is available.
+// IsListStale reports whether the list is too old to tell which hosts are
+// available.
 func IsListStale(now time.Time, l platform.HostList) bool {
 	return now.Sub(l.AsOf) > MaxListAge
 }
--- a/fleet/coordinator.go
+++ b/fleet/coordinator.go
@@ -17,19 +17,20 @@
 	"amberway/platform"
 )
 
-// planInterval is the time between two plans of a data centre.
+// planInterval is the time between two checks for a new plan.
 const planInterval = 500 * time.Millisecond
 
-// Members tells who is alive.
+// Members provides the known entry hosts.
 type Members interface {
 	// LiveNames returns the names of the live members of a data centre.
 	LiveNames(dc string) []string
-	// Members returns every row of the table.
+	// Members returns all members, in every state.
 	Members() []peers.Member
 }
 
-// Coordinator plans for one data centre while this process is the first of its
-// members. That two may take themselves to be first costs a lost swap, no more.
+// Coordinator plans for one data centre while this process ranks first among its live
+// members. Two processes with different views of the members may both rank first: one
+// of them then loses the compare-and-swap of the record, which does no harm.
 type Coordinator struct {
 	dc          string
 	self        string
@@ -42,13 +43,14 @@
 	config      func() *config.Snapshot
 	log         common.Log
 	now         func() time.Time
-	// lastBasis is what the last plan was made from.
+	// lastBasis identifies the input of the last plan.
 	lastBasis planBasis
-	// sentTerms holds the term of the last order that the platform took.
+	// sentTerms holds, by host, the term of the last order that the platform
+	// accepted.
 	sentTerms map[string]int64
 }
 
-// CoordinatorOptions are what a Coordinator is made of.
+// CoordinatorOptions configures a Coordinator.
 type CoordinatorOptions struct {
 	DataCentre  string
 	Self        string
@@ -61,7 +63,7 @@
 	Config      func() *config.Snapshot
 }
 
-// NewCoordinator returns a coordinator that is not running yet.
+// NewCoordinator returns a coordinator. Call Run to start it.
 func NewCoordinator(d common.Deps, p CoordinatorOptions) *Coordinator {
 	return &Coordinator{
 		dc: p.DataCentre, self: p.Self, store: p.Store, hosts: p.Hosts, view: p.View, members: p.Members,
@@ -69,7 +71,7 @@
 	}
 }
 
-// Run plans until the context ends.
+// Run makes plans, while this process ranks first, until the context ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if common.RankFirst(RecordKey(c.dc), c.members.LiveNames(c.dc)) == c.self {
@@ -79,11 +81,13 @@
 	}
 }
 
-// replanInterval is how often a plan is made although nothing has changed: what a
-// plan comes to also depends on time.
+// replanInterval is how often a plan is made even if nothing has changed, as plans
+// also depend on the time.
 const replanInterval = 5 * time.Second
 
-// planBasis is what a plan is made from, to tell whether anything has changed.
+// planBasis identifies the input of a plan, to detect changes. The first element of
+// the host list stands for the whole list, since an unchanged list is the same
+// slice.
 type planBasis struct {
 	revision   platform.Revision
 	generation int64
@@ -91,8 +95,8 @@
 	at         time.Time
 }
 
-// needsPlan reports whether a plan could come to anything new: something changed, a
-// host is draining, or it is time.
+// needsPlan reports whether a new plan is due: the input changed, a host is
+// draining, or replanInterval has passed since the last plan.
 func (c *Coordinator) needsPlan(s *Snapshot, g *config.Snapshot, now time.Time) bool {
 	b := planBasis{revision: s.Revision, generation: g.Head.Generation, at: now}
 	if len(s.List.Hosts) > 0 {
@@ -107,7 +111,8 @@
 	return true
 }
 
-// planOnce makes one plan, swaps it in, and sends its orders only after that.
+// planOnce makes one plan if one is due, writes its record to the store, and only
+// then sends its orders.
 func (c *Coordinator) planOnce(ctx context.Context) {
 	s := c.view.Current()
 	g := c.config()
@@ -129,8 +134,8 @@
 	c.sendOrders(ctx, o.Orders)
 }
 
-// writePlan writes the record. Only a swap that is known to have taken effect
-// counts; after any other the record is read anew.
+// writePlan writes the record and reports whether it is known to be stored. After
+// any other outcome it reads the record again.
 func (c *Coordinator) writePlan(ctx context.Context, s *Snapshot, r Record, gen int64) bool {
 	r.Version = s.Record.Version + 1
 	r.WriteID = uuid.NewString()
@@ -152,27 +157,27 @@
 	return false
 }
 
-// sendOrders sends each order that the platform has not taken yet.
+// sendOrders sends each order that the platform has not accepted yet.
 func (c *Coordinator) sendOrders(ctx context.Context, l []platform.RebootOrder) {
 	for _, o := range l {
 		if c.sentTerms[o.Host] >= o.Term || !c.now().Before(o.Deadline) {
 			continue
 		}
 		if err := c.hosts.Reboot(ctx, o); err != nil {
-			c.log.Warnf("order not taken: %v", err)
+			c.log.Warnf("reboot order not accepted: %v", err)
 			continue
 		}
 		c.sentTerms[o.Host] = o.Term
-		c.log.Infof("host %s reboots", o.Host)
+		c.log.Infof("reboot of host %s ordered", o.Host)
 	}
 }
 
-// idleHosts asks every entry host of the data centre, as no other sends to its hosts,
-// which draining hosts are idle there. A host
-// counts as idle only if all of them said so in the same term. One that does
-// not answer holds it back, also when it is taken for dead: it may be paused
-// with requests in flight. Members forgets it after a time, and leaves out one
-// that stopped as planned.
+// idleHosts asks every entry host of the data centre which draining hosts are idle;
+// entry hosts of other data centres send no requests to these hosts. A host counts
+// as idle only if all of them say so for its current term. An entry host that does
+// not answer blocks the drain even if it is considered dead, since it may be paused
+// with requests in flight. It blocks until Members forgets it. One that stopped as
+// planned is in state peers.Left and is not asked.
 func (c *Coordinator) idleHosts(ctx context.Context, r Record) map[string]int64 {
 	terms := map[string]int64{}
 	for n, w := range r.Hosts {
@@ -195,6 +200,8 @@
 	return idleEverywhere(terms, answers)
 }
 
+// askMember returns the hosts that are idle on the member, or nil if it does not
+// answer.
 func (c *Coordinator) askMember(ctx context.Context, m peers.Member, terms map[string]int64) map[string]bool {
 	if m.Name == c.self {
 		idle := map[string]bool{}
@@ -210,7 +217,7 @@
 	return a
 }
 
-// idleEverywhere returns the terms of the hosts that every answer has as idle.
+// idleEverywhere returns the terms of the hosts that are idle in every answer.
 func idleEverywhere(terms map[string]int64, answers []map[string]bool) map[string]int64 {
 	all := maps.Clone(terms)
 	for _, a := range answers {
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,8 +1,9 @@
-// Package fleet decides which pool each host is in and when it may be drained,
-// rebooted or moved. Each data centre has one record in the platform's service
-// with one row for each host, so that a host is in one pool by construction,
-// and the check of a budget and the grant of a drain are one swap.
+// Package fleet assigns hosts to pools and decides when a host may be drained,
+// rebooted or moved to another pool. Each data centre has a single record in the
+// platform's store, with one status per host. A host can therefore be in one pool
+// only, and checking a disruption budget and granting a drain are one
+// compare-and-swap.
 //
-// Plan is pure: time, the record, the host list and what is idle are handed in.
-// Coordinator and View feed it.
+// Plan is a pure function of the time, the configuration, the record, the host
+// list and the idle hosts. Coordinator calls it with the state that View follows.
 package fleet
--- a/fleet/operator.go
+++ b/fleet/operator.go
@@ -14,14 +14,15 @@
 	"amberway/platform"
 )
 
-// ErrNoHost says that the data centre has no row for a host.
+// ErrNoHost is returned for a host that the data centre's record does not have.
 var ErrNoHost = errors.New("fleet: no such host in this data centre")
 
-// maxHoldTries is how often a change by an operator is tried against others.
+// maxHoldTries bounds the attempts at an operator's change that conflicts with
+// other writes of the record.
 const maxHoldTries = 10
 
-// Hold has a host drained and kept so, or lets it back. A host that stays away
-// from a reboot is taken out of its wave when it is let back.
+// Hold has a host drained and kept drained, or releases it. Releasing a host that
+// is overdue from its reboot also removes it from its wave.
 func (c *Coordinator) Hold(ctx context.Context, name string, held bool) error {
 	for range maxHoldTries {
 		if _, err := c.view.Refresh(ctx); err != nil {
@@ -42,9 +43,10 @@
 			return err
 		}
 	}
-	return merry.Errorf("fleet: hold %s: others change the record all the time", name)
+	return merry.Errorf("fleet: hold %s: the record changed during every attempt", name)
 }
 
+// withHold returns the status of a host after Hold.
 func withHold(w HostStatus, held bool) HostStatus {
 	w.Held = held
 	if !held && w.State == Overdue {
@@ -54,7 +56,7 @@
 	return w
 }
 
-// writeRecord swaps in a record whose rows an operator changed.
+// writeRecord writes a record that was changed for an operator.
 func (c *Coordinator) writeRecord(ctx context.Context, r Record, base platform.Revision) error {
 	r.Version++
 	r.WriteID = uuid.NewString()
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// WaveProgress is how far a wave is in one data centre.
+// WaveProgress is the progress of a wave in one data centre.
 type WaveProgress struct {
 	Hosts       int
 	Done        int
@@ -78,7 +80,7 @@
 	Overdue     []string
 }
 
-// ProgressOf counts the rows that the wave covers.
+// ProgressOf returns the progress of the wave over the hosts of its pools.
 func ProgressOf(v config.Wave, r Record) WaveProgress {
 	p := WaveProgress{}
 	for _, n := range r.Names() {
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -12,13 +12,14 @@
 	"amberway/platform"
 )
 
-// IdleChecker tells what the process itself runs.
+// IdleChecker knows the requests that this process runs.
 type IdleChecker interface {
-	// Idle reports whether nothing runs on the host and nothing new can.
+	// Idle reports whether nothing runs on the host and nothing new can start.
 	Idle(host string) bool
 }
 
-// PeerServer answers coordinators and processes that cannot reach the platform.
+// PeerServer answers coordinators that ask for idle hosts, and processes that cannot
+// reach the platform and ask for the record and the host list.
 type PeerServer struct {
 	fleetpb.UnimplementedFleetServer
 	dc          string
@@ -26,17 +27,17 @@
 	idleChecker IdleChecker
 }
 
-// NewPeerServer returns the answers of a process in the data centre.
+// NewPeerServer returns the server of a process in the data centre.
 func NewPeerServer(dc string, v *View, r IdleChecker) *PeerServer {
 	return &PeerServer{dc: dc, view: v, idleChecker: r}
 }
 
-// Register offers the service on a server.
+// Register registers the service with a gRPC server.
 func (p *PeerServer) Register(g *grpc.Server) {
 	fleetpb.RegisterFleetServer(g, p)
 }
 
-// Idle tells which of the hosts are idle here in the term that is asked about.
+// Idle returns those of the hosts that are idle here in the requested term.
 func (p *PeerServer) Idle(_ context.Context, q *fleetpb.IdleRequest) (*fleetpb.IdleReply, error) {
 	r := &fleetpb.IdleReply{}
 	for _, h := range q.GetHosts() {
@@ -47,6 +48,8 @@
 	return r, nil
 }
 
+// isIdle returns false if the record known here is older than the term: requests may
+// still be started on the host then.
 func (p *PeerServer) isIdle(dc string, h *fleetpb.HostTerm) bool {
 	w := p.view.Current().Record.Hosts[h.GetHost()]
 	if dc != p.dc || w.Term < h.GetTerm() {
@@ -55,7 +58,7 @@
 	return p.idleChecker.Idle(h.GetHost())
 }
 
-// View returns the record and the list that are known here.
+// View returns the record and the host list known here.
 func (p *PeerServer) View(_ context.Context, q *fleetpb.ViewRequest) (*fleetpb.ViewReply, error) {
 	if q.GetDataCentre() != p.dc {
 		return &fleetpb.ViewReply{}, nil
@@ -64,10 +67,10 @@
 	return &fleetpb.ViewReply{Record: r, Hosts: h}, err
 }
 
-// peerCallTimeout bounds one question to a peer.
+// peerCallTimeout bounds one call to a peer.
 const peerCallTimeout = time.Second
 
-// askIdle asks one member which of the hosts are idle there.
+// askIdle asks one member which of the hosts are idle there, each in its term.
 func askIdle(ctx context.Context, l *peers.Dialer, m peers.Member, dc string, terms map[string]int64) (map[string]bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -90,8 +93,8 @@
 	return idle, nil
 }
 
-// FetchView takes the record and the list of a peer in the same data centre
-// into the view.
+// FetchView updates the view with the record and the host list of a peer in the same
+// data centre.
 func FetchView(ctx context.Context, c grpc.ClientConnInterface, v *View) error {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// Resources are what a worker has or a job needs.
+// Resources are the capacity of a worker or the needs of one replica of a job.
 type Resources struct {
 	Processors   int
 	MemoryBytes  int64
 	Accelerators int
 }
 
+// fits reports whether the need is within r.
 func (r Resources) fits(need Resources) bool {
 	return need.Processors <= r.Processors && need.MemoryBytes <= r.MemoryBytes && need.Accelerators <= r.Accelerators
 }
@@ -25,67 +26,67 @@
 	return Resources{r.Processors + o.Processors, r.MemoryBytes + o.MemoryBytes, r.Accelerators + o.Accelerators}
 }
 
-// JobSpec is one job that has to be placed on a number of workers.
+// JobSpec is one job whose replicas have to be placed, each on another worker.
 type JobSpec struct {
-	// Name is the service and the job, with a slash between.
+	// Name has the form service/job.
 	Name     string
 	Replicas int
 	Need     Resources
 }
 
-// Worker is one host that may hold jobs.
+// Worker is a host on which jobs may be placed.
 type Worker struct {
 	Name     string
 	Rack     string
 	Capacity Resources
 }
 
-// Placement gives the hosts of each job, in order.
+// Placement gives the hosts of each job by job name, sorted.
 type Placement map[string][]string
 
-// PlaceInput is what a placement is made from.
+// PlaceInput is the input of Place.
 type PlaceInput struct {
 	Jobs    []JobSpec
 	Workers []Worker
 	Current Placement
-	// MoveWeight is the cost of one moved job and BufferWeight that of one
-	// worker that holds none.
+	// MoveWeight is the cost of moving one replica. BufferWeight is the cost of
+	// one worker without replicas.
 	MoveWeight   float64
 	BufferWeight float64
 }
 
-// PlaceOutput is what a placement comes to.
+// PlaceOutput is the result of Place.
 type PlaceOutput struct {
 	Placement Placement
-	// Moves counts jobs that left a worker and began on another.
+	// Moves counts the replicas that change their worker.
 	Moves int
-	// UsedWorkers counts the workers that hold a job.
+	// UsedWorkers counts the workers that hold a replica.
 	UsedWorkers int
-	// Unplaced says for each job that lacks replicas why it does.
+	// Unplaced gives the reason for each job that lacks replicas.
 	Unplaced map[string]string
 }
 
-// workerState is a worker in the making of a placement.
+// workerState is a worker while the placement is computed.
 type workerState struct {
 	Worker
 	free Resources
 	jobs map[string]bool
 }
 
-// placer is one placement in the making.
+// placer computes one placement.
 type placer struct {
 	PlaceInput
 	states map[string]*workerState
 	names  []string
 	needs  map[string]Resources
-	// racks counts the replicas of each job in each rack.
+	// racks counts the replicas of each job, by job name and rack.
 	racks map[string]map[string]int
 	out   PlaceOutput
 }
 
-// Place keeps what still fits, adds what is missing with each job spread over
-// racks, and moves jobs off a worker only where that is worth more than the
-// moves cost.
+// Place computes a new placement. It keeps the current replicas that still fit, adds
+// the missing ones with each job spread over racks, and empties workers where an idle
+// worker is worth more than the moves.
 func Place(in PlaceInput) PlaceOutput {
 	p := &placer{
 		PlaceInput: in, states: map[string]*workerState{}, needs: map[string]Resources{},
@@ -108,8 +109,8 @@
 	return p.out
 }
 
-// largestFirst returns the jobs, the largest first, as they are the hardest to
-// place.
+// largestFirst returns the jobs in descending order of size, as large jobs are the
+// hardest to place. It also initializes needs and racks.
 func (p *placer) largestFirst() []JobSpec {
 	l := slices.Clone(p.Jobs)
 	for _, j := range l {
@@ -127,7 +128,7 @@
 	return l
 }
 
-// keepCurrent leaves the job on the workers that still have room for it.
+// keepCurrent keeps the replicas of the job on workers that still have room.
 func (p *placer) keepCurrent(j JobSpec) {
 	n := 0
 	for _, h := range p.Current[j.Name] {
@@ -151,7 +152,7 @@
 	p.racks[job][b.Rack]--
 }
 
-// addMissing adds the replicas that are missing.
+// addMissing adds the missing replicas of the job.
 func (p *placer) addMissing(j JobSpec) {
 	n := 0
 	for _, c := range p.racks[j.Name] {
@@ -167,14 +168,15 @@
 	}
 }
 
-// bestWorker returns the worker for one more replica: one in the rack with the fewest
-// of them, and among those a full one where idle workers cost more than moves,
-// else an empty one.
-func (p *placer) bestWorker(job string, may func(*workerState) bool) *workerState {
+// bestWorker returns the worker for one more replica of the job, or nil. It prefers
+// the racks with the fewest replicas of the job, and in them the worker with the
+// fewest free processors if packing is preferred, otherwise the one with the most.
+// It considers only workers for which allowed returns true.
+func (p *placer) bestWorker(job string, allowed func(*workerState) bool) *workerState {
 	var best *workerState
 	for _, n := range p.names {
 		b := p.states[n]
-		if b.jobs[job] || !b.free.fits(p.needs[job]) || !may(b) {
+		if b.jobs[job] || !b.free.fits(p.needs[job]) || !allowed(b) {
 			continue
 		}
 		if best == nil || p.better(job, b, best) {
@@ -195,12 +197,12 @@
 	return c > 0
 }
 
-// prefersPacking reports whether idle workers cost more than moved jobs.
+// prefersPacking reports whether an idle worker costs more than a move.
 func (p *placer) prefersPacking() bool {
 	return p.BufferWeight > p.MoveWeight
 }
 
-// reason says why a job cannot have another replica.
+// reason returns why no further replica of the job can be placed.
 func (p *placer) reason(j JobSpec, placed int) string {
 	able := 0
 	for _, n := range p.names {
@@ -215,7 +217,7 @@
 	return fmt.Sprintf("%d of %d replicas placed: %d workers are large enough, and none of them has room", placed, j.Replicas, able)
 }
 
-// buildOutput collects the placement and counts.
+// buildOutput collects the placement and counts workers and moves.
 func (p *placer) buildOutput() {
 	p.out.Placement = Placement{}
 	for _, n := range p.names {
@@ -228,17 +230,17 @@
 		}
 	}
 	for j, old := range p.Current {
-		left, began := 0, 0
+		removed, added := 0, 0
 		for _, h := range old {
 			if !slices.Contains(p.out.Placement[j], h) {
-				left++
+				removed++
 			}
 		}
 		for _, h := range p.out.Placement[j] {
 			if !slices.Contains(old, h) {
-				began++
+				added++
 			}
 		}
-		p.out.Moves += min(left, began)
+		p.out.Moves += min(removed, added)
 	}
 }
--- a/fleet/place_pack.go
+++ b/fleet/place_pack.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// pack empties workers whose jobs fit on others in use, as long as the idle
+// pack empties workers whose replicas fit on other workers in use, where an idle
 // worker is worth more than the moves.
 func (p *placer) pack() {
 	if !p.prefersPacking() {
@@ -25,8 +25,8 @@
 	}
 }
 
-// movesToEmpty counts the jobs of the worker that run there now; the others were
-// to begin anyway.
+// movesToEmpty counts the moves that empty the worker. Replicas that are not there
+// yet in the current placement cost none.
 func (p *placer) movesToEmpty(b *workerState) int {
 	n := 0
 	for j := range b.jobs {
@@ -37,8 +37,9 @@
 	return n
 }
 
-// tryEmpty moves all jobs of the worker to others in use, without more of a job in
-// a rack than before, or leaves all as it was.
+// tryEmpty moves all replicas of the worker to other workers in use, or changes
+// nothing. A replica goes to another rack only if that rack then has no more replicas
+// of the job than the worker's rack had.
 func (p *placer) tryEmpty(b *workerState) {
 	type step struct {
 		job string
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -8,20 +8,21 @@
 	"amberway/platform"
 )
 
-// Times of a host's maintenance.
+// Time limits of a host's maintenance.
 const (
-	// OrderTTL is how long an order to the platform may be sent before it is
-	// renewed. A host is not taken back before its order is over, so that it also
-	// bounds how much later than its reboot a host serves; a plan is made twice a
-	// second.
+	// OrderTTL is how long a reboot order may be sent before it has to be renewed.
+	// A host returns to service only after its order has expired, so OrderTTL also
+	// bounds how long after its reboot a host may stay out of service. A plan is
+	// made twice a second.
 	OrderTTL = 3 * time.Second
-	// RebootTimeout is how long a reboot may take.
+	// RebootTimeout is how long a reboot may take before the host is overdue.
 	RebootTimeout = 15 * time.Minute
-	// HostRemovalDelay is how long a host may be off a fresh list before its row goes.
+	// HostRemovalDelay is how long a host may be missing from fresh host lists
+	// before it is removed from the record.
 	HostRemovalDelay = 10 * time.Minute
 )
 
-// Input is what a plan is made from.
+// Input is the input of Plan.
 type Input struct {
 	Now        time.Time
 	Document   *config.Document
@@ -29,44 +30,45 @@
 	DataCentre string
 	Record     Record
 	List       platform.HostList
-	// IdleTerms holds the hosts that every live entry host has said to be idle, by
-	// the term that it was said for.
+	// IdleTerms has the draining hosts that all entry hosts have reported as idle,
+	// with the term for which they did so.
 	IdleTerms map[string]int64
 }
 
-// Output is what a plan comes to.
+// Output is the result of Plan.
 type Output struct {
-	// Record is the next record. It is to be swapped in before anything else
-	// is done.
+	// Record is the next record. It has to be written to the store before anything
+	// else is done.
 	Record Record
-	// Changed says that the record differs from the one handed in.
+	// Changed says that Record differs from Input.Record.
 	Changed bool
-	// Orders may be sent once the record is swapped in, and only then.
+	// Orders may be sent only once Record is stored.
 	Orders []platform.RebootOrder
-	// Blocked says for each host whose drain waits why it does.
+	// Blocked gives the reason for each host whose addition, drain, reboot or move
+	// has to wait.
 	Blocked map[string]string
-	// Notes are for operators.
+	// Notes are messages for operators.
 	Notes []string
 }
 
-// planner is one plan in the making.
+// planner computes one plan.
 type planner struct {
 	Input
 	out        Output
 	listed     map[string]platform.Host
 	pools      *config.Matcher
 	capacities map[string]*PoolCapacity
-	// quotaUsage counts the hosts and accelerators of each team.
+	// quotaUsage counts the hosts and accelerators of each team, by team name.
 	quotaUsage map[string]*usage
 	listStale  bool
 }
 
-// Plan returns the next record of a data centre. It does nothing where the
-// record was made under a newer configuration than the one handed in.
+// Plan computes the next record of a data centre. It changes nothing if the record
+// was made under a newer configuration than the one in the input.
 func Plan(in Input) Output {
 	p := &planner{Input: in, out: Output{Record: in.Record.Clone(), Blocked: map[string]string{}}}
 	if in.Generation < in.Record.Generation || in.Generation == 0 {
-		p.note("the record is of a newer configuration than the one in force here")
+		p.note("the record was made under a newer configuration than the one in force here")
 		return p.out
 	}
 	p.listStale = IsListStale(in.Now, in.List)
@@ -111,7 +113,7 @@
 	p.out.Changed = true
 }
 
-// advanceHost moves one host on by what is known of it.
+// advanceHost applies the state transition that is due for one host.
 func (p *planner) advanceHost(name string) {
 	w := p.out.Record.Hosts[name]
 	if p.removeUnlisted(name, w) {
@@ -130,8 +132,8 @@
 	}
 }
 
-// removeUnlisted drops the row of a host that has been off a fresh list for long, and
-// reports whether it did.
+// removeUnlisted removes a host that has been missing from fresh host lists for
+// HostRemovalDelay, and reports whether it did.
 func (p *planner) removeUnlisted(name string, w HostStatus) bool {
 	if p.listStale {
 		return false
@@ -151,11 +153,11 @@
 	return false
 }
 
-// confirmDrained takes a draining host on once every live entry host has said that it
-// is idle in this very term.
+// confirmDrained marks a draining host as drained once all entry hosts have reported
+// it as idle in its current term.
 func (p *planner) confirmDrained(name string, w HostStatus) {
 	if t, ok := p.IdleTerms[name]; !ok || t != w.Term {
-		p.out.Blocked[name] = "not every entry host has said that it is idle"
+		p.out.Blocked[name] = "not all entry hosts have reported it as idle"
 		return
 	}
 	w.State = Drained
@@ -163,7 +165,7 @@
 	p.afterDrain(name, w)
 }
 
-// afterDrain decides what a drained host is drained for.
+// afterDrain continues with a drained host by the purpose of its drain.
 func (p *planner) afterDrain(name string, w HostStatus) {
 	switch {
 	case w.Moving:
@@ -179,7 +181,8 @@
 	}
 }
 
-// returnToService puts a host into service again.
+// returnToService returns a host to service under a new term, or leaves it drained
+// if an operator holds it.
 func (p *planner) returnToService(name string, w HostStatus) {
 	w.State = InService
 	w.Wave = ""
@@ -195,11 +198,11 @@
 	}
 }
 
-// orderReboot writes down that the host is to reboot, under a new term.
+// orderReboot sets a drained host to rebooting, under a new term.
 func (p *planner) orderReboot(name string, w HostStatus) {
 	h, ok := p.listed[name]
 	if p.listStale || !ok {
-		p.out.Blocked[name] = "the host list does not tell of it"
+		p.out.Blocked[name] = "it is not in a fresh host list"
 		return
 	}
 	w.State = Rebooting
@@ -211,9 +214,9 @@
 	p.repeatOrder(name, w, h)
 }
 
-// checkReboot takes a rebooted host back, or notes that it stays away. While its order
-// may still be sent it is not taken back: the host may have restarted by itself, and
-// the order would end what runs on it by then.
+// checkReboot returns a rebooted host to service, or marks it as overdue. A host whose
+// order may still be sent does not return: it may have restarted by itself, and the
+// order would then interrupt the requests on it.
 func (p *planner) checkReboot(name string, w HostStatus) {
 	h, ok := p.listed[name]
 	if p.listStale {
@@ -236,8 +239,9 @@
 	p.repeatOrder(name, w, h)
 }
 
-// repeatOrder hands the order out again, for a longer time if that is over: its first
-// sender may have died before it was sent. The platform takes each term once.
+// repeatOrder adds the host's order to the output again, with a new deadline if the
+// order has expired: its coordinator may have died before it sent the order. The
+// platform carries out an order once per term.
 func (p *planner) repeatOrder(name string, w HostStatus, h platform.Host) {
 	if w.State != Rebooting || !h.Live {
 		return
@@ -249,7 +253,7 @@
 	p.out.Orders = append(p.out.Orders, platform.RebootOrder{Host: name, Term: w.Term, Deadline: w.OrderDeadline})
 }
 
-// drainHeld drains each host that an operator wants drained.
+// drainHeld drains each host that an operator holds.
 func (p *planner) drainHeld() {
 	for _, n := range p.out.Record.Names() {
 		w := p.out.Record.Hosts[n]
@@ -259,7 +263,8 @@
 	}
 }
 
-// drain grants the drain of one host if its pool's budget allows it.
+// drain starts the drain of one host if its pool's budget allows it, and reports
+// whether it did. A host that is not available anyway costs no budget.
 func (p *planner) drain(name string, w HostStatus) bool {
 	h := p.listed[name]
 	t, ok := p.capacities[w.Pool]
--- a/fleet/plan_place.go
+++ b/fleet/plan_place.go
@@ -8,13 +8,13 @@
 	"amberway/platform"
 )
 
-// JobName names a job of a service in a placement.
+// JobName returns the name of a service's job in a Placement.
 func JobName(service, job string) string {
 	return service + "/" + job
 }
 
-// placeJobs puts the jobs of each pool onto those of its hosts that are in service.
-// The jobs of a host that drains move in the same swap.
+// placeJobs places the jobs of each pool on its available hosts. The jobs of a host
+// that starts to drain move in the same write of the record.
 func (p *planner) placeJobs() {
 	next := Placement{}
 	unplaced := map[string]string{}
@@ -41,8 +41,8 @@
 	p.out.Changed = true
 }
 
-// jobsByPool returns the jobs of each pool's services that ask for a number of
-// replicas.
+// jobsByPool returns the jobs of the services of each pool. Jobs without a number of
+// replicas run on every host of the pool and are not placed.
 func jobsByPool(d *config.Document) map[string][]JobSpec {
 	l := map[string][]JobSpec{}
 	for _, s := range d.Services {
@@ -57,6 +57,7 @@
 	return l
 }
 
+// placementOf returns the entries of the jobs in a placement.
 func placementOf(l []JobSpec, all Placement) Placement {
 	c := Placement{}
 	for _, j := range l {
@@ -67,7 +68,7 @@
 	return c
 }
 
-// workers returns the hosts of each pool that may hold jobs after this plan.
+// workers returns the hosts of each pool that are available after this plan.
 func (p *planner) workers() map[string][]Worker {
 	l := map[string][]Worker{}
 	for n, w := range p.out.Record.Hosts {
--- a/fleet/plan_pool.go
+++ b/fleet/plan_pool.go
@@ -6,7 +6,7 @@
 	"amberway/platform"
 )
 
-// addHosts gives a row to each host that a pool selects and that has none.
+// addHosts adds each live host that a pool selects and the record does not have yet.
 func (p *planner) addHosts() {
 	for _, h := range p.sortedHosts() {
 		if _, ok := p.out.Record.Hosts[h.Name]; ok {
@@ -27,7 +27,7 @@
 	}
 }
 
-// withinQuota reports whether the team of the pool may have one more host.
+// withinQuota reports whether the quota of the pool's team allows the host.
 func (p *planner) withinQuota(pool string, h platform.Host) bool {
 	o, _ := p.Document.Pool(pool)
 	q := p.quotaUsage[o.Team]
@@ -46,7 +46,7 @@
 	return true
 }
 
-// addUsage counts a host towards the quota of the pool's team.
+// addUsage counts the host towards the quota of the pool's team.
 func (p *planner) addUsage(pool string, h platform.Host) {
 	o, _ := p.Document.Pool(pool)
 	q, ok := p.quotaUsage[o.Team]
@@ -74,7 +74,7 @@
 	return l
 }
 
-// drainForMove drains each host that its pool does not select any more.
+// drainForMove drains each host that its pool no longer selects.
 func (p *planner) drainForMove() {
 	for _, n := range p.out.Record.Names() {
 		w := p.out.Record.Hosts[n]
@@ -92,12 +92,13 @@
 				p.setHost(n, w)
 			}
 		case Rebooting, Overdue:
-			// It moves once it is back in service.
+			// The host moves once it is back in service.
 		}
 	}
 }
 
-// finishMove puts a drained host into the pool that selects it now, or lets it go.
+// finishMove assigns a drained host to the pool that now selects it. If no pool does,
+// it removes the host from the record.
 func (p *planner) finishMove(name string, w HostStatus) {
 	h, ok := p.listed[name]
 	if p.listStale || !ok {
--- a/fleet/plan_wave.go
+++ b/fleet/plan_wave.go
@@ -6,7 +6,7 @@
 	"amberway/config"
 )
 
-// runWaves drains the next hosts of each running wave.
+// runWaves starts the drain of the next hosts of each running wave.
 func (p *planner) runWaves() {
 	for _, v := range p.Document.Waves {
 		if v.State == config.WaveRunning {
@@ -16,8 +16,8 @@
 }
 
 func (p *planner) runWave(v config.Wave) {
-	busy, away := p.countInWave(v.Name)
-	if away >= v.FailureLimit {
+	busy, overdue := p.countInWave(v.Name)
+	if overdue >= v.FailureLimit {
 		p.note("wave " + v.Name + " is stopped: hosts have not come back")
 		return
 	}
@@ -33,24 +33,24 @@
 	}
 }
 
-// countInWave counts the hosts in maintenance for the wave and those of them that
-// stay away.
-func (p *planner) countInWave(name string) (busy, away int) {
+// countInWave returns how many hosts are in maintenance for the wave, and how many
+// of them are overdue from their reboot.
+func (p *planner) countInWave(name string) (busy, overdue int) {
 	for _, w := range p.out.Record.Hosts {
 		if w.Wave != name {
 			continue
 		}
 		busy++
 		if w.State == Overdue {
-			away++
+			overdue++
 		}
 	}
-	return busy, away
+	return busy, overdue
 }
 
-// candidates returns the hosts that the wave still has to maintain, those of
-// one rack together: a rack that is partly away already is the cheapest to go
-// on with, since the budget covers the loss of one rack.
+// candidates returns the hosts that the wave still has to maintain, ordered by rack.
+// A rack of which some hosts are out of service already costs the least budget, since
+// the budget covers the loss of one whole rack.
 func (p *planner) candidates(v config.Wave) []string {
 	var l []string
 	for _, n := range p.out.Record.Names() {
@@ -85,7 +85,7 @@
 	return ""
 }
 
-// forgetWaves drops waves from the row that the configuration no longer has.
+// forgetWaves removes waves that the configuration no longer has from Done.
 func (p *planner) forgetWaves(name string, w HostStatus) {
 	keep := slices.DeleteFunc(slices.Clone(w.Done), func(n string) bool { return p.waveState(n) == "" })
 	if len(keep) == len(w.Done) {
--- a/fleet/preview.go
+++ b/fleet/preview.go
@@ -7,42 +7,42 @@
 	"amberway/config"
 )
 
-// RebootEstimate is what a preview takes a drain and a reboot to last.
+// RebootEstimate is the assumed time of one drain and reboot.
 const RebootEstimate = 5 * time.Minute
 
-// Preview is what a configuration comes to in one data centre before it is
+// Preview describes the effects of a configuration in one data centre before it is
 // applied.
 type Preview struct {
-	// HostMoves counts hosts that change their pool or are let go.
+	// HostMoves counts hosts that change their pool or leave all pools.
 	HostMoves int `json:"host_moves"`
-	// HostsAdded counts hosts that a pool takes in.
+	// HostsAdded counts hosts that are added to a pool.
 	HostsAdded int `json:"hosts_added"`
-	// JobMoves counts jobs that leave a host and begin on another.
+	// JobMoves counts replicas of jobs that change their host.
 	JobMoves int64 `json:"job_moves"`
-	// Buffer counts the available hosts above the budgets of their pools.
+	// Buffer counts the available hosts beyond what the budgets require.
 	Buffer int `json:"buffer_hosts"`
-	// Cost is moves and buffer by the document's weights.
+	// Cost is the sum of moves and buffer, weighted as the document says.
 	Cost float64 `json:"cost"`
-	// Waves gives the roll-out time of each wave, as if it started now.
+	// Waves estimates the roll-out of each wave, as if it started now.
 	Waves []WavePreview `json:"waves"`
-	// Unplaced says why a job lacks replicas.
+	// Unplaced gives the reason for each job that lacks replicas.
 	Unplaced map[string]string `json:"unplaced,omitempty"`
-	// Blocked says why a host cannot be moved or taken in.
+	// Blocked gives the reason for each host that cannot be moved or added.
 	Blocked map[string]string `json:"blocked,omitempty"`
 }
 
-// WavePreview is how long one wave takes.
+// WavePreview estimates the roll-out of one wave.
 type WavePreview struct {
 	Name  string `json:"name"`
 	Hosts int    `json:"hosts"`
-	// AtOnce is the most hosts in maintenance at once that limit and budgets
-	// allow.
+	// AtOnce is the largest number of hosts in maintenance at the same time that
+	// the wave's limit and the budgets allow.
 	AtOnce int `json:"at_once"`
-	// RollOut is in nanoseconds; zero where the budgets allow nothing.
+	// RollOut is the estimated time; zero if the budgets allow no drain.
 	RollOut time.Duration `json:"roll_out_nanoseconds"`
 }
 
-// PreviewOf returns what the plan's document comes to. Nothing is changed.
+// PreviewOf returns the effects of the input's document. It changes nothing.
 func PreviewOf(in Input) Preview {
 	in.Generation = max(in.Generation, in.Record.Generation)
 	o := Plan(in)
@@ -88,7 +88,8 @@
 	return w
 }
 
-// maxUnavailable is how many hosts the pool may lose at once to maintenance.
+// maxUnavailable returns how many hosts of the pool may be in maintenance at once,
+// if the largest rack is lost besides.
 func (t *PoolCapacity) maxUnavailable() int {
 	return max(0, t.Available-t.MinAvailable-t.LargestRack)
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -15,29 +15,30 @@
 	"amberway/platform"
 )
 
-// Times of a view.
+// Intervals of a View.
 const (
-	// listInterval is how often the host list is read. A leaving host gets no new
-	// work within three seconds of the list's word.
+	// listInterval is how often the host list is read. A leaving host must get no
+	// new work from 3 s after the platform lists it as leaving.
 	listInterval = time.Second
-	// rereadInterval bounds how long a watch that died unnoticed goes unnoticed.
+	// rereadInterval is how often the record is read despite the watch, to recover
+	// from a watch that has failed silently.
 	rereadInterval = 10 * time.Second
 )
 
-// Snapshot is what is known of one data centre. It is never changed.
+// Snapshot is the known state of one data centre. It is immutable.
 type Snapshot struct {
 	Record   Record
 	Revision platform.Revision
 	List     platform.HostList
-	// Usable gives the address of each host that may get work.
+	// Usable has the addresses of the hosts that may get work, by host name.
 	Usable map[string]netip.AddrPort
 	// ListedAt is when the list was last read.
 	ListedAt time.Time
 }
 
-// newSnapshot works out which hosts may get work: those in service that the
-// last list known has as live and staying. A list that cannot be refreshed is
-// used on, so that an outage of the platform stops no request.
+// newSnapshot returns a snapshot with the hosts that may get work: those in service
+// that the last known list has as live and not leaving. An old list stays in use, so
+// that requests go on during an outage of the platform.
 func newSnapshot(r Record, rev platform.Revision, l platform.HostList, at time.Time) *Snapshot {
 	s := &Snapshot{Record: r, Revision: rev, List: l, Usable: map[string]netip.AddrPort{}, ListedAt: at}
 	for _, h := range l.Hosts {
@@ -60,15 +61,15 @@
 	onChange func(*Snapshot)
 }
 
-// NewView returns a view of the data centre that calls onChange with each new
-// snapshot.
+// NewView returns a view of the data centre. It calls onChange with each snapshot in
+// which the record or the hosts have changed.
 func NewView(d common.Deps, dc string, s platform.Store, h platform.Hosts, onChange func(*Snapshot)) *View {
 	v := &View{dc: dc, store: s, hosts: h, log: d.Log("fleet"), now: d.Now, onChange: onChange}
 	v.current.Store(newSnapshot(Record{}, 0, platform.HostList{}, time.Time{}))
 	return v
 }
 
-// Current returns what is known now.
+// Current returns the current snapshot.
 func (v *View) Current() *Snapshot {
 	return v.current.Load()
 }
@@ -79,7 +80,7 @@
 	return a, ok
 }
 
-// Run follows the platform until the context ends.
+// Run follows the record and the host list until the context ends.
 func (v *View) Run(ctx context.Context) {
 	go v.followList(ctx)
 	b := backoff.NewExponentialBackOff()
@@ -94,8 +95,7 @@
 	}
 }
 
-// followRecord reads the record and watches it until it is due to be read
-// again.
+// followRecord reads the record and watches it until the next read is due.
 func (v *View) followRecord(ctx context.Context) error {
 	rev, err := v.Refresh(ctx)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return err
 }
 
-// Refresh reads the record. It returns a revision to watch from.
+// Refresh reads the record and returns the revision to watch from.
 func (v *View) Refresh(ctx context.Context) (platform.Revision, error) {
 	known := v.Current().Revision
 	e, ok, err := v.store.GetAfter(ctx, RecordKey(v.dc), known)
@@ -120,8 +120,8 @@
 	return e.Revision, v.offerEntry(e)
 }
 
-// Reload reads the record and the list, after a pause in which both may have
-// changed.
+// Reload reads the record and the host list. It is called after a pause of the
+// process, in which both may have changed.
 func (v *View) Reload(ctx context.Context) error {
 	if _, err := v.Refresh(ctx); err != nil {
 		return err
@@ -140,7 +140,7 @@
 			continue
 		}
 		if err := v.offerEntry(e.Entry); err != nil {
-			v.log.Errorf("record not understood: %v", err)
+			v.log.Errorf("record not decoded: %v", err)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// OfferRecord takes in a record unless a newer one is known.
+// OfferRecord adopts the record unless the known one is as new or newer.
 func (v *View) OfferRecord(r Record, rev platform.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -165,7 +165,7 @@
 	v.publish(newSnapshot(r, rev, c.List, c.ListedAt))
 }
 
-// OfferList takes in a host list unless a newer one is known.
+// OfferList adopts the host list unless the known one is as new or newer.
 func (v *View) OfferList(l platform.HostList) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -183,8 +183,8 @@
 	v.publish(newSnapshot(c.Record, c.Revision, l, v.now()))
 }
 
-// sameHosts reports whether both are the very same slice, which the host list
-// returns as long as nothing has changed.
+// sameHosts reports whether both are the same slice. platform.Hosts returns the same
+// slice as long as the list has not changed.
 func sameHosts(a, b []platform.Host) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
@@ -209,9 +209,10 @@
 	}
 }
 
-// encode returns the record, if newer than the version, and the list as JSON.
-func (s *Snapshot) encode(than int64) (record, hosts []byte, err error) {
-	if s.Record.Version > than {
+// encode returns the record, if it is newer than the known version, and the host list as
+// JSON.
+func (s *Snapshot) encode(known int64) (record, hosts []byte, err error) {
+	if s.Record.Version > known {
 		record, err = json.Marshal(s.Record)
 		if err != nil {
 			return nil, nil, err
