--- a/config/adopter.go
+++ b/config/adopter.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// Snapshot is one configuration in force. It is never changed.
+// Snapshot is one configuration that is in force. It is immutable.
 type Snapshot struct {
 	Head     *Head
 	Document *Document
-	// Blobs are the sections by hash, handed on to peers.
+	// Blobs are the encoded sections by hash, as they are sent to peers.
 	Blobs map[Hash][]byte
 	// AdoptedAt is when this process put it in force.
 	AdoptedAt time.Time
 }
 
-// Adopter decides which head is in force. It has no clock and no I/O: heads
-// are offered from wherever they were learned, and a lower generation never
-// follows a higher one.
+// Adopter decides which head is in force. Its callers offer heads from any source; a
+// lower generation never replaces a higher one. It uses no clock and no I/O.
 type Adopter struct {
 	current *Snapshot
 	pending *Head
 	blobs   map[Hash][]byte
-	// ConfirmedAt is when the platform itself last told its head.
+	// ConfirmedAt is when the head was last read from the platform itself.
 	ConfirmedAt time.Time
 }
 
-// NewAdopter returns an adopter with generation zero in force.
+// NewAdopter returns an adopter with an empty configuration of generation zero.
 func NewAdopter() *Adopter {
 	s := &Snapshot{Head: &Head{Sections: map[string]Hash{}}, Document: &Document{}}
 	return &Adopter{current: s, blobs: map[Hash][]byte{}}
@@ -37,7 +36,8 @@
 	return a.current
 }
 
-// Offer takes note of a head and reports whether it is newer than all before.
+// Offer makes the head pending if it is newer than all heads before, and reports
+// whether it is.
 func (a *Adopter) Offer(h *Head) bool {
 	if h.Generation <= a.current.Head.Generation {
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// Missing returns the sections that the offered head still lacks.
+// Missing returns the hashes of the sections that the pending head still lacks.
 func (a *Adopter) Missing() []Hash {
 	if a.pending == nil {
 		return nil
@@ -57,8 +57,9 @@
 	return a.pending.Missing(a.blobs)
 }
 
-// Supply adds sections and puts the offered head in force if it is whole. A
-// section whose content does not fit its hash is dropped.
+// Supply adds sections, and puts the pending head in force once none is missing. It
+// returns the new snapshot, or nil if the head in force stays. Sections whose content
+// does not match their hash are dropped.
 func (a *Adopter) Supply(now time.Time, blobs map[Hash][]byte) (*Snapshot, error) {
 	for h, b := range blobs {
 		if HashOf(b) == h {
@@ -78,7 +79,7 @@
 	return a.current, nil
 }
 
-// dropUnused drops the sections that the head does not name.
+// dropUnused drops the sections that the head does not refer to.
 func (a *Adopter) dropUnused(h *Head) {
 	keep := map[Hash]bool{}
 	for _, v := range h.Sections {
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// largeDocument is a document of so many pools, with a service each, and teams.
+// largeDocument returns a document with the number of pools, each with a service.
 func largeDocument(pools int) *Document {
 	d := &Document{Operator: "large", DataCentres: []string{"north"}}
 	for n := range pools * 71 / 259 {
@@ -21,8 +21,8 @@
 	return d
 }
 
-// changeOneSection makes the next head with one section changed, and returns it with the
-// section that an adopter of the one before lacks.
+// changeOneSection returns the next head, with one section changed, and the section that
+// the adopter lacks for it.
 func changeOneSection(b *testing.B, a *Adopter, d *Document, n int) (*Head, map[Hash][]byte) {
 	b.Helper()
 	d.Pools[0].Budget.MinAvailable = map[string]int{"north": n % 7}
@@ -37,8 +37,8 @@
 	return next, one
 }
 
-// BenchmarkAdopt is what one change costs each process: a head and one section
-// to take in.
+// BenchmarkAdopt measures the cost of one change to each process, which adopts a head and
+// one section.
 func BenchmarkAdopt(b *testing.B) {
 	for _, pools := range []int{5, 50, 259} {
 		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) { benchAdopt(b, largeDocument(pools)) })
@@ -70,7 +70,7 @@
 	b.ReportMetric(float64(len(j)), "head-bytes")
 }
 
-// BenchmarkCheck is the check of a whole document.
+// BenchmarkCheck measures the validation of a whole document.
 func BenchmarkCheck(b *testing.B) {
 	for _, pools := range []int{5, 50, 259} {
 		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) {
--- a/config/check.go
+++ b/config/check.go
@@ -10,19 +10,19 @@
 	"amberway/common"
 )
 
-// Values that stand where a document says nothing.
+// Defaults of values that a document leaves out.
 const (
 	defaultQuickTimeout   = 2 * time.Second
 	defaultPatientTimeout = 10 * time.Minute
 	defaultRunTime        = 100 * time.Millisecond
 )
 
-// MaxTimeout bounds a job's patience and every request's deadline.
+// MaxTimeout bounds the timeout of a job and the deadline of every request.
 const MaxTimeout = time.Hour
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Violation is one thing wrong with a document.
+// Violation is one error in a document.
 type Violation struct {
 	// Path is the path of the field, for example pools[2].team.
 	Path string `json:"place"`
@@ -30,10 +30,10 @@
 	Reason string `json:"reason"`
 }
 
-// ValidationError is every fault of one document.
+// ValidationError has all violations of one document.
 type ValidationError []Violation
 
-// Error lists each fault on a line of its own.
+// Error lists each violation on its own line.
 func (f ValidationError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "config: %d faults", len(f))
@@ -43,7 +43,7 @@
 	return b.String()
 }
 
-// setDefaults sets what may be left out.
+// setDefaults sets the defaults of values that the document leaves out.
 func (d *Document) setDefaults() {
 	if d.Placement == (Placement{}) {
 		d.Placement = Placement{MoveWeight: 1, BufferWeight: 1}
@@ -89,7 +89,7 @@
 	}
 }
 
-// Check returns nil, or a FaultsError with everything that is wrong.
+// Check returns nil, or a ValidationError with all violations.
 func (d *Document) Check() error {
 	c := checker{doc: d}
 	c.root()
@@ -104,6 +104,7 @@
 	return c.violations
 }
 
+// checker collects the violations of a document.
 type checker struct {
 	doc        *Document
 	violations ValidationError
@@ -113,7 +114,7 @@
 	c.violations = append(c.violations, Violation{Path: place, Reason: fmt.Sprintf(format, a...)})
 }
 
-// name checks one name and that it is the first of its kind.
+// name checks one name, and that it is not in seen, to which it adds the name.
 func (c *checker) name(place, name string, seen map[string]bool) {
 	if !namePattern.MatchString(name) {
 		c.addf(place+".name", "%q is no name: lower-case letters, digits and hyphens, at most 63", name)
@@ -182,9 +183,9 @@
 	}
 }
 
-// overlaps refuses pools that could select the same host. Grouping by one key
-// that all selectors have keeps it linear for documents that name pools by a
-// label of their own.
+// overlaps checks that no two pools could select the same host. It compares only pools
+// with a common value for one key that all selectors have, so that it takes linear time
+// if each pool has its own value of a label.
 func (c *checker) overlaps() {
 	for _, g := range groupPools(c.doc.Pools, commonKey(c.doc.Pools)) {
 		for i, a := range g {
--- a/config/decode.go
+++ b/config/decode.go
@@ -9,8 +9,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Decode reads a document from YAML. Unknown fields are refused, and the error
-// shows the line. The document is not checked yet.
+// Decode decodes a document from YAML, without validating it. Unknown fields are
+// errors, and errors show the line.
 func Decode(b []byte) (*Document, error) {
 	var d Document
 	y := yaml.NewDecoder(bytes.NewReader(b), yaml.Strict())
@@ -24,7 +24,7 @@
 	return &d, nil
 }
 
-// Parse reads a document, fills in what may be left out and checks it.
+// Parse decodes a document, sets defaults and validates it.
 func Parse(b []byte) (*Document, error) {
 	d, err := Decode(b)
 	if err != nil {
--- a/config/document.go
+++ b/config/document.go
@@ -12,7 +12,7 @@
 	Operator string `yaml:"operator" json:"operator"`
 	// DataCentres are the names of all data centres.
 	DataCentres []string `yaml:"data_centres" json:"data_centres"`
-	// Placement weighs the costs of a plan against each other.
+	// Placement weighs moves against idle workers.
 	Placement Placement `yaml:"placement" json:"placement"`
 	Teams     []Team    `yaml:"teams" json:"teams"`
 	Pools     []Pool    `yaml:"pools" json:"pools"`
@@ -20,9 +20,9 @@
 	Waves     []Wave    `yaml:"waves" json:"waves"`
 }
 
-// Placement weighs the costs of a plan. Only the ratio of the weights counts.
+// Placement has the weights of the costs of a plan. Only their ratio matters.
 type Placement struct {
-	// MoveWeight is the cost of one moved job.
+	// MoveWeight is the cost of moving one replica of a job.
 	MoveWeight float64 `yaml:"move_weight" json:"move_weight"`
 	// BufferWeight is the cost of one idle worker.
 	BufferWeight float64 `yaml:"buffer_weight" json:"buffer_weight"`
@@ -31,16 +31,16 @@
 // Team owns pools and has a quota.
 type Team struct {
 	Name string `yaml:"name" json:"name"`
-	// MaxHosts is the most hosts that the team's pools may own together in each
-	// data centre; zero means no bound. It is counted for each data centre so
-	// that it holds while they cannot hear each other.
+	// MaxHosts is the maximum number of hosts in all pools of the team in each data
+	// centre; zero means no limit. The limit is per data centre so that it holds
+	// while the data centres cannot reach each other.
 	MaxHosts int `yaml:"hosts" json:"hosts"`
-	// MaxAccelerators is the most accelerators of those hosts in each data
-	// centre; zero means no bound.
+	// MaxAccelerators is the maximum number of accelerators of those hosts in each
+	// data centre; zero means no limit.
 	MaxAccelerators int `yaml:"accelerators" json:"accelerators"`
 }
 
-// Pool is a set of hosts that a selector picks by their labels.
+// Pool is a set of hosts selected by their labels.
 type Pool struct {
 	Name   string   `yaml:"name" json:"name"`
 	Team   string   `yaml:"team" json:"team"`
@@ -48,10 +48,10 @@
 	Budget Budget   `yaml:"budget" json:"budget"`
 }
 
-// Budget is a pool's availability budget, divided into an allowance for each
-// data centre so that it holds while they cannot hear each other.
+// Budget is a pool's disruption budget. It is set for each data centre so that it
+// holds while the data centres cannot reach each other.
 type Budget struct {
-	// MinAvailable is the least number of hosts in service in each data centre.
+	// MinAvailable is the minimum number of available hosts, by data centre.
 	MinAvailable map[string]int `yaml:"available" json:"available"`
 }
 
@@ -68,22 +68,22 @@
 type Job struct {
 	Name  string       `yaml:"name" json:"name"`
 	Class common.Class `yaml:"class" json:"class"`
-	// Repeatable says that a second run does no harm.
+	// Repeatable says that a request may safely run more than once.
 	Repeatable bool `yaml:"repeatable" json:"repeatable"`
-	// RunTime is the declared time of one run. It is a first guess; what is
-	// measured replaces it.
+	// RunTime is the initial estimate of the time of one run. Measured times replace
+	// it.
 	RunTime time.Duration `yaml:"run_time" json:"run_time"`
-	// Timeout is how long a request without a deadline of its own may take.
+	// Timeout is the time limit of a request that has no deadline of its own.
 	Timeout time.Duration `yaml:"patience" json:"patience"`
-	// Replicas is the number of workers that have to hold the job; zero means
-	// every worker of the pool.
+	// Replicas is the number of workers that the job is placed on; zero means every
+	// worker of the pool.
 	Replicas     int   `yaml:"replicas" json:"replicas"`
 	Processors   int   `yaml:"processors" json:"processors"`
 	MemoryBytes  int64 `yaml:"memory_bytes" json:"memory_bytes"`
 	Accelerators int   `yaml:"accelerators" json:"accelerators"`
 }
 
-// WaveState is what an operator wants of a wave.
+// WaveState is the state that an operator has set for a wave.
 type WaveState string
 
 // The states of a wave.
@@ -94,15 +94,16 @@
 	WaveAborted WaveState = "aborted"
 )
 
-// Wave maintains every host of its pools once.
+// Wave is a maintenance wave: it drains and reboots every host of its pools once.
 type Wave struct {
 	Name  string    `yaml:"name" json:"name"`
 	Pools []string  `yaml:"pools" json:"pools"`
 	State WaveState `yaml:"state" json:"state"`
-	// MaxInMaintenance is the most hosts of one data centre in maintenance at once.
+	// MaxInMaintenance is the maximum number of hosts of one data centre in
+	// maintenance at the same time.
 	MaxInMaintenance int `yaml:"limit" json:"limit"`
-	// FailureLimit is how many hosts of one data centre may stay away before the
-	// wave stops there.
+	// FailureLimit is the number of hosts of one data centre overdue from their
+	// reboot at which the wave stops there.
 	FailureLimit int `yaml:"failures" json:"failures"`
 }
 
--- a/config/follower.go
+++ b/config/follower.go
@@ -13,20 +13,20 @@
 	"amberway/platform"
 )
 
-// Source gives heads and sections that a peer has in force.
+// Source provides a head and its sections.
 type Source interface {
-	// Head returns the peer's head.
+	// Head returns the head that is in force at the source.
 	Head(ctx context.Context) (*Head, error)
-	// Sections returns those of the sections that the peer holds.
+	// Sections returns those of the sections that the source has.
 	Sections(ctx context.Context, l []Hash) (map[Hash][]byte, error)
 }
 
-// listThreshold is how many missing sections are read by one list instead of one
-// by one.
+// listThreshold is the number of missing sections above which all sections are listed
+// at once instead of read one by one.
 const listThreshold = 8
 
-// rereadInterval is how often the head is read although the watch is silent. It
-// bounds how long a watch that has died unnoticed goes unnoticed.
+// rereadInterval is how often the head is read despite the watch, to recover from a
+// watch that has failed silently.
 const rereadInterval = 20 * time.Second
 
 // Follower keeps the configuration in force up to date from the platform and
@@ -43,8 +43,8 @@
 	onAdopt      []func(*Snapshot)
 }
 
-// NewFollower returns a follower of the store's head. Each function is called
-// with every snapshot put in force.
+// NewFollower returns a follower of the store's head. It calls each onAdopt function
+// with every snapshot that it puts in force.
 func NewFollower(d common.Deps, s platform.Store, onAdopt ...func(*Snapshot)) *Follower {
 	f := &Follower{store: s, log: d.Log("config"), now: d.Now, adopter: NewAdopter(), onAdopt: onAdopt}
 	f.current.Store(f.adopter.Current())
@@ -56,7 +56,8 @@
 	return f.current.Load()
 }
 
-// ConfirmedAt returns when the platform last told its head; zero if never.
+// ConfirmedAt returns when the head was last read from the platform itself, or the zero
+// time.
 func (f *Follower) ConfirmedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,13 +78,13 @@
 		if f.now().Sub(start) > rereadInterval/2 {
 			b.Reset()
 		}
-		f.log.Warnf("platform not followed: %v", err)
+		f.log.Warnf("cannot follow the configuration: %v", err)
 		common.Sleep(ctx, b.NextBackOff())
 	}
 }
 
-// follow reads the head and watches it until the watch breaks or is due to be
-// confirmed by a new read.
+// follow reads and watches the head until an error occurs. The watch is interrupted
+// about every rereadInterval by a new read.
 func (f *Follower) follow(ctx context.Context) error {
 	for {
 		rev, err := f.readHead(ctx)
@@ -116,7 +117,7 @@
 	return f.headRevision, nil
 }
 
-// watchHead returns nil when it is time to confirm the head by a read.
+// watchHead watches the head. It returns nil when the next read is due.
 func (f *Follower) watchHead(ctx context.Context, rev platform.Revision) error {
 	d := rereadInterval + rand.N(rereadInterval/4)
 	wctx, cancel := context.WithTimeout(ctx, d)
@@ -136,7 +137,7 @@
 		}
 		h, err := DecodeHead(e.Value)
 		if err != nil {
-			f.log.Errorf("head not understood: %v", err)
+			f.log.Errorf("head not decoded: %v", err)
 			continue
 		}
 		if err := f.adopt(ctx, h, platformSource{f.store}); err != nil {
@@ -151,7 +152,7 @@
 	f.mu.Unlock()
 }
 
-// FetchFrom fetches a newer generation from a peer.
+// FetchFrom adopts the source's head if it is newer.
 func (f *Follower) FetchFrom(ctx context.Context, s Source) error {
 	h, err := s.Head(ctx)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return f.adopt(ctx, h, s)
 }
 
-// adopt puts the head in force once its sections are there.
+// adopt fetches the sections that the head lacks from s, and puts it in force.
 func (f *Follower) adopt(ctx context.Context, h *Head, s Source) error {
 	f.mu.Lock()
 	f.adopter.Offer(h)
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// platformSource reads sections from the platform.
+// platformSource is the Source that reads from the platform.
 type platformSource struct {
 	store platform.Store
 }
@@ -203,8 +204,8 @@
 	return h, err
 }
 
-// Sections reads the sections one by one, or all at once where many are
-// missing.
+// Sections reads the sections one by one, or lists all of them if there are more than
+// listThreshold.
 func (p platformSource) Sections(ctx context.Context, l []Hash) (map[Hash][]byte, error) {
 	m := map[Hash][]byte{}
 	if len(l) > listThreshold {
--- a/config/matcher.go
+++ b/config/matcher.go
@@ -1,13 +1,13 @@
 package config
 
-// Matcher finds the pool of a host in a time that does not grow with the number
-// of pools, where all selectors have one label in common.
+// Matcher finds the pool of a host. The time does not grow with the number of pools if
+// all selectors share a key for which each pool has its own values.
 type Matcher struct {
 	key    string
 	groups map[string][]Pool
 }
 
-// NewMatcher returns a matcher of the document's pools.
+// NewMatcher returns a matcher for the document's pools.
 func NewMatcher(d *Document) *Matcher {
 	m := &Matcher{key: commonKey(d.Pools), groups: map[string][]Pool{}}
 	for v, l := range groupPools(d.Pools, m.key) {
@@ -19,7 +19,7 @@
 }
 
 // PoolOf returns the pool whose selector matches the labels, or the empty
-// string. Checked documents have at most one.
+// string. A valid document has at most one.
 func (m *Matcher) PoolOf(labels map[string]string) string {
 	for _, p := range m.groups[labels[m.key]] {
 		if p.Select.Matches(labels) {
@@ -29,8 +29,8 @@
 	return ""
 }
 
-// groupPools returns the indexes of the pools by each value that their selector
-// has for the key, or all in one group where there is no key.
+// groupPools groups the indexes of the pools by the values that their selectors have
+// for the key. Without a key, all are in one group.
 func groupPools(l []Pool, key string) map[string][]int {
 	g := map[string][]int{}
 	if key == "" {
@@ -47,8 +47,8 @@
 	return g
 }
 
-// commonKey returns the key that all selectors have with the most values, or
-// the empty string.
+// commonKey returns, of the keys that all selectors have, the one with the most
+// distinct values, or the empty string.
 func commonKey(l []Pool) string {
 	values := map[string]map[string]bool{}
 	count := map[string]int{}
--- a/config/parse_bench_test.go
+++ b/config/parse_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkParse is the decoding and the check of a whole document.
+// BenchmarkParse measures the decoding and validation of a whole document.
 func BenchmarkParse(b *testing.B) {
 	for _, pools := range []int{5, 50, 259} {
 		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) {
--- a/config/peer.go
+++ b/config/peer.go
@@ -9,18 +9,18 @@
 	"amberway/config/configpb"
 )
 
-// PeerServer hands the configuration in force on to peers.
+// PeerServer serves the configuration in force to peers.
 type PeerServer struct {
 	configpb.UnimplementedConfigServer
 	follower *Follower
 }
 
-// NewPeerServer returns a server of what the follower has in force.
+// NewPeerServer returns a server of the follower's configuration in force.
 func NewPeerServer(f *Follower) *PeerServer {
 	return &PeerServer{follower: f}
 }
 
-// Register offers the service on a server.
+// Register registers the service with a gRPC server.
 func (p *PeerServer) Register(g *grpc.Server) {
 	configpb.RegisterConfigServer(g, p)
 }
@@ -31,7 +31,7 @@
 	return &configpb.HeadReply{Head: b}, err
 }
 
-// Sections returns those of the sections that are in force here.
+// Sections returns those of the requested sections that are in force here.
 func (p *PeerServer) Sections(_ context.Context, q *configpb.SectionsRequest) (*configpb.SectionsReply, error) {
 	s := p.follower.Current()
 	r := &configpb.SectionsReply{}
@@ -43,17 +43,17 @@
 	return r, nil
 }
 
-// PeerSource reads the configuration that a peer has in force.
+// PeerSource is the Source that reads from a peer.
 type PeerSource struct {
 	client configpb.ConfigClient
 }
 
-// NewPeerSource returns the source behind a connection to a peer.
+// NewPeerSource returns a source that uses the connection to a peer.
 func NewPeerSource(c grpc.ClientConnInterface) PeerSource {
 	return PeerSource{client: configpb.NewConfigClient(c)}
 }
 
-// Head returns the peer's head.
+// Head returns the head that is in force at the peer.
 func (p PeerSource) Head(ctx context.Context) (*Head, error) {
 	r, err := p.client.Head(ctx, &configpb.HeadRequest{})
 	if err != nil {
@@ -62,7 +62,7 @@
 	return DecodeHead(r.GetHead())
 }
 
-// Sections returns those of the sections that the peer holds.
+// Sections returns those of the sections that the peer has.
 func (p PeerSource) Sections(ctx context.Context, l []Hash) (map[Hash][]byte, error) {
 	q := &configpb.SectionsRequest{}
 	for _, h := range l {
--- a/config/publish.go
+++ b/config/publish.go
@@ -15,48 +15,48 @@
 	"amberway/platform"
 )
 
-// Keys of the platform's service.
+// Keys in the platform's store.
 const (
 	// HeadKey holds the Head in force.
 	HeadKey = "config/head"
-	// SectionPrefix begins the key of every section.
+	// SectionPrefix is the prefix of the keys of sections; their hashes follow.
 	SectionPrefix = "config/sections/"
 )
 
-// StaleError says that the configuration moved on from the base that a change
-// was made from. Nothing was written.
+// StaleError says that another generation than the base of a change is in force. The
+// change was not put in force.
 type StaleError struct {
 	Base    int64
 	Current int64
-	// Changed names the sections that differ between the change and what is in
-	// force now.
+	// Changed names the sections that differ between the change and the
+	// configuration in force.
 	Changed []string
 }
 
-// Error names both generations and what differs.
+// Error names both generations and the sections that differ.
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("config: base generation %d is stale, %d is in force; it differs from this document in: %s",
 		e.Base, e.Current, strings.Join(e.Changed, ", "))
 }
 
-// ErrUnknownOutcome says that it could not be learned whether a publication took effect.
-// The same document can be published again from the same base.
+// ErrUnknownOutcome says that it is not known whether a publication took effect. The
+// same document can safely be published again from the same base.
 var ErrUnknownOutcome = errors.New("config: the platform's answer was lost and the head could not be read back; the change may be in force")
 
 // Publisher writes documents to the platform.
 type Publisher struct {
 	store platform.Store
-	// retryDelay is the pause before the first retry.
+	// retryDelay is the delay before the first retry.
 	retryDelay time.Duration
 }
 
-// NewPublisher returns a publisher to the store.
+// NewPublisher returns a publisher that writes to the store.
 func NewPublisher(s platform.Store) *Publisher {
 	return &Publisher{store: s, retryDelay: publishRetryDelay}
 }
 
-// ReadHead returns the head in force and its revision; an empty head where
-// there is none.
+// ReadHead returns the head in force and its revision, or an empty head and zero if
+// nothing was published yet.
 func ReadHead(ctx context.Context, s platform.Store) (*Head, platform.Revision, error) {
 	e, err := s.Get(ctx, HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -69,7 +69,7 @@
 	return h, e.Revision, err
 }
 
-// DecodeHead reads a head from its JSON.
+// DecodeHead decodes a head from JSON.
 func DecodeHead(b []byte) (*Head, error) {
 	var h Head
 	if err := json.Unmarshal(b, &h); err != nil {
@@ -78,9 +78,10 @@
 	return &h, nil
 }
 
-// Publish puts the document in force as the generation after base, by one swap
-// of the head. It returns *StaleError where another generation is in force, and
-// ErrOpen where the outcome could not be learned before the context ended.
+// Publish puts the document in force as the generation after base, by one
+// compare-and-swap of the head. It returns *StaleError if another generation than base
+// is in force, and ErrUnknownOutcome if the outcome is still unknown when the retries or
+// the context end.
 func (p *Publisher) Publish(ctx context.Context, d *Document, base int64) (*Head, error) {
 	old, rev, err := ReadHead(ctx, p.store)
 	if err != nil {
@@ -107,9 +108,9 @@
 	return next, nil
 }
 
-// putSections writes every section that the old head does not hold. One that
-// is there already is written again, so that a removal by its old revision
-// fails.
+// putSections writes every section that the old head does not refer to. It also
+// rewrites sections that are already in the store, to raise their revision: a concurrent
+// publisher that deletes a section at its old revision then fails.
 func (p *Publisher) putSections(ctx context.Context, old, next *Head, blobs map[Hash][]byte) error {
 	held := map[Hash]bool{}
 	for _, h := range old.Sections {
@@ -142,8 +143,8 @@
 	return err
 }
 
-// swapHead writes the head and, where the answer is lost, reads back whether
-// it took effect.
+// swapHead writes the head. Unless the write is known not to have been sent, a failure is
+// resolved by reading the head back.
 func (p *Publisher) swapHead(ctx context.Context, next *Head, rev platform.Revision, base int64) error {
 	b, err := json.Marshal(next)
 	if err != nil {
@@ -159,9 +160,9 @@
 	return p.resolveWrite(ctx, next, base)
 }
 
-// resolveWrite reads the head until it tells whether the write took effect. A head
-// that is still the base tells nothing, since the write may yet arrive; it is
-// settled by a swap of the same head, which can take effect once only.
+// resolveWrite reads the head until it shows whether the write took effect. A head that
+// is still the base shows nothing, since the write may arrive late. In that case the same
+// head is written again: the compare-and-swap lets only one of both writes take effect.
 func (p *Publisher) resolveWrite(ctx context.Context, next *Head, base int64) error {
 	settle := func() (struct{}, error) {
 		cur, rev, err := ReadHead(ctx, p.store)
@@ -190,8 +191,8 @@
 	return errors.Join(ErrUnknownOutcome, err)
 }
 
-// removeUnused deletes the sections that only the old head held. A failure
-// leaves them behind, which does no harm.
+// removeUnused deletes the sections that only the old head refers to. It ignores errors,
+// as sections that are left behind do no harm.
 func (p *Publisher) removeUnused(ctx context.Context, old, next *Head) {
 	keep := map[Hash]bool{}
 	for _, h := range next.Sections {
@@ -206,9 +207,9 @@
 	}
 }
 
-// removeSection deletes by the revision read before the head was found
-// unchanged: a publisher that has taken the section up since has given it a
-// new revision.
+// removeSection deletes a section, unless the head has changed. It deletes at the
+// revision that it read before the head: a later publisher that uses the section has
+// rewritten it at a new revision, so that the deletion fails.
 func (p *Publisher) removeSection(ctx context.Context, key string, next *Head) {
 	e, err := p.store.Get(ctx, key)
 	if err != nil {
@@ -221,7 +222,7 @@
 	_ = p.store.Delete(ctx, key, e.Revision)
 }
 
-// Limits of the retries of one publication.
+// Limits of the retries within one publication.
 const (
 	maxPublishTries   = 8
 	maxPublishTime    = 15 * time.Second
--- a/config/publish_test.go
+++ b/config/publish_test.go
@@ -14,17 +14,16 @@
 	"amberway/platform"
 )
 
-// publishModel is operators that publish at once through a store that loses,
-// delays and refuses answers, and entry hosts that adopt heads and sections
-// from the store and from each other, old ones too. The oracle is the list of
-// heads that were ever in the store.
+// publishModel has operators that publish concurrently through a store that loses and
+// delays writes and loses answers, and entry hosts that adopt new and old heads. The
+// oracle is what each operator was told about its publication.
 type publishModel struct {
 	t              *rapid.T
 	memory         *standin.FaultyStore
 	hosts          []*Adopter
 	lastGeneration []int64
-	// accepted are the values that an operator was told are in force, by
-	// generation; refused are those that an operator was told are not.
+	// accepted has, by generation, the operator of the document that was reported
+	// to be in force. refused has those reported not to be.
 	accepted map[int64]string
 	refused  map[string]bool
 	heads    []*Head
@@ -62,7 +61,7 @@
 	return rapid.SampledFrom(fates).Draw(m.t, "fate")
 }
 
-// document returns a document that no other publication has.
+// document returns a document that differs from all others by its operator.
 func (m *publishModel) document() *Document {
 	m.next++
 	d := &Document{Operator: fmt.Sprint("operator-", m.next), DataCentres: []string{"north"}}
@@ -72,7 +71,8 @@
 	return d
 }
 
-// publish lets one operator publish from the generation that it has read.
+// publish lets one operator publish from the generation that it has read or from the
+// one before.
 func (m *publishModel) publish() {
 	d := m.document()
 	m.depth++
@@ -102,7 +102,7 @@
 	m.accepted[gen] = operator
 }
 
-// recordHead keeps the head that is in the store now.
+// recordHead adds the head that is in the store now to heads.
 func (m *publishModel) recordHead() {
 	l, _ := m.memory.Store.Range(HeadKey, "")
 	if len(l) == 0 {
@@ -115,8 +115,8 @@
 	m.heads = append(m.heads, h)
 }
 
-// adopt lets one host learn a head, a new or an old one, with those of its
-// sections that the store or another host still has.
+// adopt offers one host a new or an old head, with those of its sections that the store
+// still has.
 func (m *publishModel) adopt(t *rapid.T) {
 	m.t = t
 	if len(m.heads) == 0 {
@@ -154,14 +154,15 @@
 	}
 	m.lastGeneration[n] = s.Head.Generation
 	if want, ok := m.accepted[s.Head.Generation]; ok && s.Document.Operator != want {
-		m.t.Fatalf("host %d has %s in generation %d, which is %s's", n, s.Document.Operator, s.Head.Generation, want)
+		m.t.Fatalf("host %d has the document of %s in generation %d, which was accepted from %s", n, s.Document.Operator, s.Head.Generation, want)
 	}
 	if m.refused[s.Document.Operator] {
-		m.t.Fatalf("host %d has the document of %s, who was told that it is not in force", n, s.Document.Operator)
+		m.t.Fatalf("host %d has the document of %s, which was reported not to be in force", n, s.Document.Operator)
 	}
 }
 
-// checkFinalHead lets every write arrive and checks that the head in the store is whole.
+// checkFinalHead delivers all delayed writes, and checks that all sections of the head
+// in the store are there.
 func (m *publishModel) checkFinalHead() {
 	m.faults = false
 	m.memory.DeliverDelayed()
@@ -177,7 +178,7 @@
 	}
 	a := m.hosts[0]
 	if !a.Offer(top) && a.Current().Head.Generation < top.Generation && len(a.Missing()) == 0 {
-		m.t.Fatalf("the newest head was not taken")
+		m.t.Fatalf("the newest head was not adopted")
 	}
 	blobs := map[Hash][]byte{}
 	l, _ := m.memory.Store.Range(SectionPrefix, string(platform.PrefixEnd(SectionPrefix)))
@@ -185,15 +186,14 @@
 		blobs[Hash(string(k.Key)[len(SectionPrefix):])] = k.Value
 	}
 	if _, err := a.Supply(time.Now(), blobs); err != nil || a.Current().Head.Generation != top.Generation {
-		m.t.Fatalf("the head in the store is not whole: %v", err)
+		m.t.Fatalf("the head in the store is incomplete: %v", err)
 	}
 	m.check(0)
 }
 
-// TestConfigurationNeverReverts proves that a generation has one content, that
-// it only grows on each host, that an operator who was told that a change is in
-// force, or is not, was told the truth, and that no section of the head in
-// force is ever removed.
+// TestConfigurationNeverReverts checks that a generation has one content, that no host
+// returns to a lower generation, that operators are told correctly whether their change
+// is in force, and that no section of the head in force is removed.
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPublishModel(t)
@@ -207,8 +207,8 @@
 	})
 }
 
-// TestHeadStaysFarBelowMaxValue shows that a head stays far below the platform's largest
-// value at the size of two years from now.
+// TestHeadStaysFarBelowMaxValue checks that a head of the size expected two years
+// from now stays below a tenth of the platform's largest value.
 func TestHeadStaysFarBelowMaxValue(t *testing.T) {
 	d := &Document{Operator: "large"}
 	for n := range 259 {
@@ -224,6 +224,6 @@
 	}
 	b, err := json.Marshal(h)
 	if err != nil || len(b) > platform.MaxValueBytes/10 {
-		t.Fatalf("a head of %d bytes: %v", len(b), err)
+		t.Fatalf("the head has %d bytes: %v", len(b), err)
 	}
 }
--- a/config/sections.go
+++ b/config/sections.go
@@ -11,19 +11,19 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Hash names a section by its content.
+// Hash identifies a section by its content.
 type Hash string
 
-// HashOf returns the hash of a section's bytes.
+// HashOf returns the hash of an encoded section.
 func HashOf(b []byte) Hash {
 	s := sha256.Sum256(b)
 	return Hash(hex.EncodeToString(s[:hashBytes]))
 }
 
-// hashBytes is how much of the SHA-256 sum names a section.
+// hashBytes is the length to which the SHA-256 sum of a section is truncated.
 const hashBytes = 16
 
-// Kinds of sections, each the first part of its name.
+// Kinds of sections. Section names begin with them.
 const (
 	sectionRoot    = "root"
 	sectionTeam    = "team/"
@@ -32,30 +32,31 @@
 	sectionWave    = "wave/"
 )
 
-// Head names the sections of one generation.
+// Head lists the sections of one generation of the configuration.
 type Head struct {
-	// Generation only grows. Zero is no configuration at all.
+	// Generation is raised with each publication. Zero means that there is no
+	// configuration.
 	Generation int64 `json:"generation"`
-	// WriteID is the id of the write that made this head.
+	// WriteID is the id of the write that stored this head.
 	WriteID string `json:"write"`
-	// RecentWrites are the ids of the writes before it, newest first, so that a
-	// writer whose answer was lost can tell whether its write took effect.
+	// RecentWrites are the ids of previous writes, newest first. A publisher whose
+	// answer was lost finds out by them whether its write took effect.
 	RecentWrites []string `json:"recent,omitempty"`
-	// Order is the names of the sections as the document has them.
+	// Order has the names of the sections in the order of the document.
 	Order []string `json:"order"`
-	// Sections gives the hash of each section by its name.
+	// Sections has the hash of each section by its name.
 	Sections map[string]Hash `json:"sections"`
 }
 
-// maxRecentWrites bounds Head.Recent.
+// maxRecentWrites bounds Head.RecentWrites.
 const maxRecentWrites = 16
 
-// HasWrite reports whether the write with the id led to this head.
+// HasWrite reports whether the write with the id stored this head or a recent one.
 func (h *Head) HasWrite(id string) bool {
 	return h.WriteID == id || slices.Contains(h.RecentWrites, id)
 }
 
-// next returns the head that follows h and holds the sections of d.
+// next returns the head that follows h, with the sections of d, and these sections.
 func (h *Head) next(d *Document, write string) (*Head, map[Hash][]byte, error) {
 	n := &Head{Generation: h.Generation + 1, WriteID: write, Sections: map[string]Hash{}}
 	if h.WriteID != "" {
@@ -66,7 +67,8 @@
 	return n, blobs, err
 }
 
-// addSections encodes each section of the document and returns them by hash.
+// addSections adds the sections of the document to the head, and returns them encoded,
+// by hash.
 func (h *Head) addSections(d *Document) (map[Hash][]byte, error) {
 	blobs := map[Hash][]byte{}
 	add := func(name string, v any) error {
@@ -106,7 +108,7 @@
 	return blobs, nil
 }
 
-// Missing returns the hashes of the head that have does not hold.
+// Missing returns the hashes of the head's sections that are not in have.
 func (h *Head) Missing(have map[Hash][]byte) []Hash {
 	var l []Hash
 	for _, n := range h.Order {
@@ -117,7 +119,7 @@
 	return l
 }
 
-// Assemble makes the document from its sections, each checked by its hash.
+// Assemble decodes the document from its sections, and verifies their hashes.
 func (h *Head) Assemble(have map[Hash][]byte) (*Document, error) {
 	d := &Document{}
 	for _, n := range h.Order {
@@ -126,7 +128,7 @@
 			return nil, fmt.Errorf("config: section %s is missing", n)
 		}
 		if HashOf(b) != h.Sections[n] {
-			return nil, fmt.Errorf("config: section %s is not what its hash says", n)
+			return nil, fmt.Errorf("config: section %s does not match its hash", n)
 		}
 		if err := d.addSection(n, b); err != nil {
 			return nil, merry.Prepend(err, "config: section "+n)
@@ -135,7 +137,7 @@
 	return d, nil
 }
 
-// addSection decodes one section into the document.
+// addSection decodes one section and adds it to the document.
 func (d *Document) addSection(name string, b []byte) error {
 	switch {
 	case name == sectionRoot:
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// Changes lists the names of sections that differ between two heads.
+// Changes returns the sorted names of the sections that differ between two heads.
 func Changes(a, b *Head) []string {
 	var l []string
 	for n, h := range b.Sections {
--- a/config/selector.go
+++ b/config/selector.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Selector picks hosts by their labels: every key has to be there with one of
-// its values. A selector without keys picks nothing.
+// Selector selects hosts by their labels. A host must have a label for every key, with
+// one of the key's values. A selector without keys selects nothing.
 type Selector map[string][]string
 
-// Matches reports whether the selector picks a host with the labels.
+// Matches reports whether the selector selects a host with the labels.
 func (s Selector) Matches(labels map[string]string) bool {
 	if len(s) == 0 {
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// Disjoint reports whether no host, whatever its labels, is picked by both.
+// Disjoint reports whether no host can be selected by both selectors.
 func (s Selector) Disjoint(o Selector) bool {
 	if len(s) == 0 || len(o) == 0 {
 		return true
@@ -38,7 +38,7 @@
 	return false
 }
 
-// String returns the selector with its keys in order.
+// String formats the selector, sorted by key.
 func (s Selector) String() string {
 	var p []string
 	for k, l := range s {
@@ -48,6 +48,7 @@
 	return strings.Join(p, " and ")
 }
 
+// intersect reports whether a and b have a value in common.
 func intersect(a, b []string) bool {
 	for _, v := range a {
 		if slices.Contains(b, v) {
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// benchInput is a fleet with so many pools, all hosts in service.
+// benchInput returns a fleet with the given number of pools, all hosts in service.
 func benchInput(hosts, pools int) Input {
 	d := &config.Document{DataCentres: []string{testDC}, Teams: []config.Team{{Name: "t"}}}
 	names := make([]string, 0, pools)
@@ -38,7 +38,7 @@
 	return in
 }
 
-// BenchmarkPlan is one plan, and the size of the record that it is made from.
+// BenchmarkPlan measures one plan, and reports the size of its input record.
 func BenchmarkPlan(b *testing.B) {
 	for _, v := range []struct{ hosts, pools int }{{50, 5}, {500, 50}, {1000, 259}, {5000, 259}, {10000, 259}} {
 		b.Run(fmt.Sprintf("hosts=%d/pools=%d", v.hosts, v.pools), func(b *testing.B) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// waveSimulation is one wave over a pool, with reboots of five minutes and with every
-// drain idle after one step.
+// waveSimulation simulates one wave over a pool. Reboots take RebootEstimate, and every
+// draining host is idle after one step.
 type waveSimulation struct {
 	doc        *config.Document
 	list       platform.HostList
@@ -68,7 +68,7 @@
 	buffer     int
 }
 
-// waveStep is the time between two plans.
+// waveStep is the simulated time between two plans.
 const waveStep = 10 * time.Second
 
 func newWaveRun(hosts, racks, limit int) *waveSimulation {
@@ -77,7 +77,7 @@
 	return &waveSimulation{doc: d, list: l, now: time.Unix(1e9, 0), rebootEnds: map[string]time.Time{}}
 }
 
-// run plays the wave to its end and returns its roll-out time.
+// run simulates the whole wave and returns its roll-out time.
 func (w *waveSimulation) run() time.Duration {
 	start := w.now
 	for w.done() < len(w.list.Hosts) {
@@ -99,7 +99,7 @@
 	return n
 }
 
-// endReboots brings the hosts back whose reboot is over.
+// endReboots returns the hosts whose reboots are over.
 func (w *waveSimulation) endReboots() {
 	for i := range w.list.Hosts {
 		h := &w.list.Hosts[i]
@@ -134,10 +134,10 @@
 	}
 }
 
-// BenchmarkWave gives the roll-out of one wave over the hosts of one data
-// centre of today's deployments, against one host at a time and against the
-// bound that the budget sets: the hosts, over what the budget lets go at once,
-// times the five minutes of one reboot.
+// BenchmarkWave measures the roll-out of one wave over data centres of the sizes in
+// use, with one host at a time and with as many as the budget allows at once. It
+// reports the lower bound that the budget sets: the number of hosts, divided by the
+// number that may be in maintenance at once, times the five minutes of one reboot.
 func BenchmarkWave(b *testing.B) {
 	for _, v := range []struct {
 		name         string
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -10,8 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawPlacement draws workers and jobs, and a placement that was made before
-// some of them changed.
+// drawPlacement draws the workers, jobs and weights of a placement.
 func drawPlacement(t *rapid.T) PlaceInput {
 	in := PlaceInput{
 		MoveWeight:   float64(rapid.IntRange(0, 5).Draw(t, "move")),
@@ -32,7 +31,7 @@
 	return in
 }
 
-// checkPlacement holds a placement against the rules by counting anew.
+// checkPlacement recounts a placement and checks it against the rules.
 func checkPlacement(t *rapid.T, in PlaceInput, out PlaceOutput) {
 	used := map[string]Resources{}
 	for _, j := range in.Jobs {
@@ -54,39 +53,40 @@
 	}
 }
 
-// TestPlacementFitsWithoutNeedlessMoves proves that no worker holds more than it has, that
-// a job that lacks replicas is named, and that a placement that still fits is
-// kept without a move, or changed only where that empties enough workers.
+// TestPlacementFitsWithoutNeedlessMoves checks that no worker holds more than its
+// capacity, that jobs that lack replicas are reported, that a placement that still fits
+// is kept unless moves empty enough workers, and that the loss of a worker moves no more
+// replicas than it had.
 func TestPlacementFitsWithoutNeedlessMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawPlacement(t)
 		first := Place(in)
 		checkPlacement(t, in, first)
 		second := checkMovesWorthwhile(t, in, first)
-		loose := in
-		loose.BufferWeight = 0
-		checkMovesWorthwhile(t, in, Place(loose))
+		unpacked := in
+		unpacked.BufferWeight = 0
+		checkMovesWorthwhile(t, in, Place(unpacked))
 		in.Current = first.Placement
 		lost := rapid.SampledFrom(in.Workers).Draw(t, "lost")
 		in.Workers = slices.DeleteFunc(slices.Clone(in.Workers), func(w Worker) bool { return w.Name == lost.Name })
 		in.BufferWeight = 0
 		third := Place(in)
 		checkPlacement(t, in, third)
-		was := 0
+		affected := 0
 		for _, l := range second.Placement {
 			if slices.Contains(l, lost.Name) {
-				was++
+				affected++
 			}
 		}
 		in.Current = second.Placement
-		if n := Place(in).Moves; n > was {
-			t.Fatalf("the loss of a worker with %d jobs moved %d", was, n)
+		if n := Place(in).Moves; n > affected {
+			t.Fatalf("the loss of a worker with %d replicas moved %d replicas", affected, n)
 		}
 	})
 }
 
-// checkMovesWorthwhile places anew from an earlier placement and requires that the moves
-// were worth the workers that they emptied.
+// checkMovesWorthwhile places again, starting from an earlier placement, and requires
+// that the emptied workers are worth the moves.
 func checkMovesWorthwhile(t *rapid.T, in PlaceInput, before PlaceOutput) PlaceOutput {
 	in.Current = before.Placement
 	after := Place(in)
@@ -98,7 +98,7 @@
 	return after
 }
 
-// smallPlaceInput is a deployment of today: 12 workers in 3 racks, and five jobs.
+// smallPlaceInput returns 12 workers in 3 racks and five jobs.
 func smallPlaceInput(move, buffer float64) PlaceInput {
 	in := PlaceInput{MoveWeight: move, BufferWeight: buffer}
 	for n := range 12 {
@@ -110,8 +110,8 @@
 	return in
 }
 
-// TestWeightsDecideBetweenMovesAndBuffer shows that the same policy leaves jobs
-// where they are for the one deployment and packs them for the other.
+// TestWeightsDecideBetweenMovesAndBuffer checks that jobs stay where they are if moves
+// cost more than idle workers, and are packed otherwise.
 func TestWeightsDecideBetweenMovesAndBuffer(t *testing.T) {
 	spread := Place(smallPlaceInput(5, 1))
 	require.Equal(t, 12, spread.UsedWorkers)
@@ -133,7 +133,8 @@
 	require.Zero(t, Place(in).Moves)
 }
 
-// TestUnplaceableJobIsReported shows the reason that operators get.
+// TestUnplaceableJobIsReported checks the reason that operators get for a job that no
+// worker is large enough for.
 func TestUnplaceableJobIsReported(t *testing.T) {
 	in := smallPlaceInput(1, 1)
 	in.Jobs = append(in.Jobs, JobSpec{Name: "huge", Replicas: 1, Need: Resources{Processors: 64}})
--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -20,33 +20,34 @@
 
 const testDC = "north"
 
-// modelCoordinator is one coordinator with its own, perhaps old, view.
+// modelCoordinator is one coordinator with its own, possibly outdated, view.
 type modelCoordinator struct {
 	record   Record
 	revision platform.Revision
 	list     platform.HostList
 	doc      *config.Document
 	gen      int64
-	// idle is what the entry hosts said when they were asked last.
+	// idle is the last answer of the entry hosts.
 	idle map[string]int64
-	// orders wait to be sent; the actor may be paused before.
+	// orders are still to be sent; the coordinator may be paused before that.
 	orders []platform.RebootOrder
 }
 
-// modelEntryHost is one entry host that sends requests by its own, perhaps old, view.
+// modelEntryHost is one entry host that sends requests by its own, possibly outdated,
+// view.
 type modelEntryHost struct {
 	record  Record
 	running map[string]int
 }
 
-// isIdle answers as PeerServer does.
+// isIdle follows the same rule as PeerServer.
 func (s *modelEntryHost) isIdle(host string, term int64) bool {
 	w := s.record.Hosts[host]
 	return w.Term >= term && w.State != InService && s.running[host] == 0
 }
 
-// fleetModel is a data centre with hosts that fail, alone and by the rack, two
-// coordinators, two entry hosts, a list that lags and operators.
+// fleetModel is a data centre with hosts and racks that fail, two coordinators, two
+// entry hosts, a lagging host list and operators.
 type fleetModel struct {
 	t            *rapid.T
 	now          time.Time
@@ -59,7 +60,7 @@
 	gen          int64
 	coordinators []*modelCoordinator
 	entryHosts   []*modelEntryHost
-	// lastGeneration is the generation of the newest record seen.
+	// lastGeneration is the generation of the last record checked.
 	lastGeneration int64
 }
 
@@ -110,7 +111,7 @@
 	return d
 }
 
-// recordList notes what the list would say now.
+// recordList appends the current host list.
 func (m *fleetModel) recordList() {
 	l := platform.HostList{AsOf: m.now}
 	for _, h := range m.hosts {
@@ -135,7 +136,7 @@
 	return m.hosts[rapid.SampledFrom(names).Draw(m.t, "name")]
 }
 
-// fail takes a host or its whole rack down, or brings a host up again.
+// fail takes a host or its whole rack down, or brings it up again.
 func (m *fleetModel) fail(t *rapid.T) {
 	m.t = t
 	h := m.someHost()
@@ -168,8 +169,8 @@
 	m.gen++
 }
 
-// refresh lets one coordinator read the record, a list that may be old, and the
-// configuration.
+// refresh lets one coordinator read some of the record, a possibly old host list and
+// the configuration.
 func (m *fleetModel) refresh(t *rapid.T) {
 	m.t = t
 	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
@@ -198,7 +199,7 @@
 	return r, platform.Revision(l[0].ModRevision)
 }
 
-// plan lets one coordinator plan and swap.
+// plan lets one coordinator make a plan and write its record.
 func (m *fleetModel) plan(t *rapid.T) {
 	m.t = t
 	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
@@ -229,7 +230,7 @@
 	a.orders = o.Orders
 }
 
-// ask lets one coordinator ask the entry hosts what is idle.
+// ask lets one coordinator ask the entry hosts which hosts are idle.
 func (m *fleetModel) ask(t *rapid.T) {
 	m.t = t
 	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
@@ -247,24 +248,25 @@
 	return idle
 }
 
-// mayBeInForce reports whether a swap with the outcome may be in force.
+// mayBeInForce reports whether a write that returned err may have taken effect.
 func mayBeInForce(err error) bool {
 	return !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrNotSent)
 }
 
-// checkSwap holds one planned change against the rules by counting anew. What runs on a
-// host says something only of a change that may be in force: a coordinator that plans from
-// an old record is refused by the store, and the host may serve in its new pool by then.
+// checkSwap recounts one planned change and checks it against the rules. The requests
+// that run on a host count only for a change that may be in force: the store refuses a
+// plan that a coordinator made from an old record, and by then the host may serve in its
+// new pool.
 func (m *fleetModel) checkSwap(in Input, next Record, mayBeIn bool) {
 	drained := map[string]bool{}
 	for n, w := range next.Hosts {
 		old, ok := in.Record.Hosts[n]
 		h := listedHost(in.List, n)
 		if !ok && config.NewMatcher(in.Document).PoolOf(h.Labels) != w.Pool {
-			m.t.Fatalf("%s was taken into pool %s, which does not select it", n, w.Pool)
+			m.t.Fatalf("%s was added to pool %s, which does not select it", n, w.Pool)
 		}
 		if ok && old.Pool != w.Pool && old.State != Drained && w.Pool != "" && (old.State != Draining || (mayBeIn && m.anyRuns(n))) {
-			m.t.Fatalf("%s changed its pool from state %s", n, old.State)
+			m.t.Fatalf("%s changed its pool in state %s", n, old.State)
 		}
 		if ok && old.State == InService && w.State == Draining && h.Live && !h.Leaving {
 			drained[w.Pool] = true
@@ -285,11 +287,11 @@
 	return platform.Host{}
 }
 
-// checkBudget requires that the pool, after the drains, survives the loss of
-// any one rack.
+// checkBudget requires that the pool, after the drains, keeps its required minimum
+// through the loss of any one rack.
 func (m *fleetModel) checkBudget(in Input, next Record, pool string) {
 	if m.now.Sub(in.List.AsOf) > MaxListAge {
-		m.t.Fatalf("a drain was granted by a list of %s", in.List.AsOf)
+		m.t.Fatalf("a drain was granted by a host list as of %s", in.List.AsOf)
 	}
 	p, _ := in.Document.Pool(pool)
 	racks := map[string]int{}
@@ -326,7 +328,7 @@
 		m.t.Fatalf("%d hosts are in a wave that is limited to %d", after, v.MaxInMaintenance)
 	}
 	if after > before && v.State != config.WaveRunning {
-		m.t.Fatalf("a wave that is %s went on", v.State)
+		m.t.Fatalf("a wave that is %s continued", v.State)
 	}
 }
 
@@ -334,7 +336,7 @@
 	return slices.ContainsFunc(m.entryHosts, func(s *modelEntryHost) bool { return s.running[host] > 0 })
 }
 
-// sendOrders lets one coordinator send its orders, however late.
+// sendOrders lets one coordinator send its orders, possibly late.
 func (m *fleetModel) sendOrders(t *rapid.T) {
 	m.t = t
 	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
@@ -347,7 +349,7 @@
 	}
 }
 
-// reboot is what the platform does with an order that it takes.
+// reboot carries out an order that the platform accepted.
 func (m *fleetModel) reboot(name string) {
 	if m.anyRuns(name) {
 		m.t.Fatalf("%s was rebooted with requests in flight", name)
@@ -362,7 +364,7 @@
 	m.recordList()
 }
 
-// refreshEntryHost lets one entry host learn the record.
+// refreshEntryHost lets one entry host read the stored record.
 func (m *fleetModel) refreshEntryHost(t *rapid.T) {
 	m.t = t
 	s := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
@@ -371,8 +373,8 @@
 	}
 }
 
-// run starts a request on a host that the entry host takes to be in service,
-// and ends one.
+// run ends a request on a host, or starts one if the entry host's view has the host in
+// service.
 func (m *fleetModel) run(t *rapid.T) {
 	m.t = t
 	s := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
@@ -386,7 +388,7 @@
 	}
 }
 
-// check holds the stored record against what must hold at any moment.
+// check checks the invariants of the stored record.
 func (m *fleetModel) check(t *rapid.T) {
 	r, _ := m.stored()
 	if r.Generation < m.lastGeneration {
@@ -403,22 +405,22 @@
 	}
 }
 
-// TestFleetInvariantsHold proves that a host is in one pool, that no drain is
-// granted that a pool could not stand together with the loss of a rack, that a
-// drained host has nothing in flight from any entry host, that no host reboots
-// twice for one wave, and that waves keep their limits: over two coordinators
-// with old views, lost and late writes, lagging lists, failures of hosts and
-// racks, label and configuration changes.
+// TestFleetInvariantsHold checks that hosts are added only to pools that select them
+// and change pools only when drained, that a drain leaves the pool enough hosts for the
+// loss of any one rack, that drained and rebooting hosts have no requests in flight,
+// that no host reboots twice for one wave, and that waves keep their limits. It does so
+// with two coordinators with outdated views, lost and late writes, lagging host lists,
+// failures of hosts and racks, and changes of labels and configuration.
 func TestFleetInvariantsHold(t *testing.T) {
 	rapid.Check(t, checkFleetInvariants)
 }
 
-// TestFleetInvariantsHoldForSeedsThatFailed plays the draws that failed before.
+// TestFleetInvariantsHoldForSeedsThatFailed repeats seeds that have failed before.
 func TestFleetInvariantsHoldForSeedsThatFailed(t *testing.T) {
 	before := flag.Lookup("rapid.seed").Value.String()
 	defer func() { require.NoError(t, flag.Set("rapid.seed", before)) }()
 	for seed, cause := range map[string]string{
-		"9476117129545897665": "what ran on a host was held against a plan that the store had refused",
+		"9476117129545897665": "requests on a host were checked against a plan that the store had refused",
 	} {
 		t.Run(cause, func(t *testing.T) {
 			require.NoError(t, flag.Set("rapid.seed", seed))
@@ -450,7 +452,8 @@
 	})
 }
 
-// smallFleet is a data centre where all goes well, to show that waves end.
+// smallFleet returns the configuration and the host list of a data centre without
+// failures.
 func smallFleet(hosts, racks int) (*config.Document, platform.HostList) {
 	d := &config.Document{
 		DataCentres: []string{testDC},
@@ -471,7 +474,7 @@
 	return d, l
 }
 
-// allIdle says of every draining host that it is idle.
+// allIdle reports every draining host as idle.
 func allIdle(r Record) map[string]int64 {
 	idle := map[string]int64{}
 	for n, w := range r.Hosts {
@@ -482,8 +485,8 @@
 	return idle
 }
 
-// TestWaveMaintainsEveryHost shows that a wave ends, with each host rebooted
-// once.
+// TestWaveMaintainsEveryHost checks that a wave completes, with each host rebooted
+// exactly once.
 func TestWaveMaintainsEveryHost(t *testing.T) {
 	d, l := smallFleet(12, 4)
 	now := time.Unix(1e9, 0)
@@ -512,8 +515,8 @@
 	}
 }
 
-// TestOverdueHostStopsWave shows that one host that does not come back
-// keeps the wave from going on, and that an operator is told.
+// TestOverdueHostStopsWave checks that a wave stops once hosts have not returned from
+// their reboots, and that operators get a message.
 func TestOverdueHostStopsWave(t *testing.T) {
 	d, l := smallFleet(12, 4)
 	now := time.Unix(1e9, 0)
@@ -526,19 +529,19 @@
 		r = last.Record
 		r.Generation = 1
 	}
-	away := 0
+	overdue := 0
 	for _, w := range r.Hosts {
 		require.NotEqual(t, Draining, w.State)
 		if w.State == Overdue {
-			away++
+			overdue++
 		}
 	}
-	require.Equal(t, 2, away)
+	require.Equal(t, 2, overdue)
 	require.Contains(t, last.Notes, "wave w is stopped: hosts have not come back")
 }
 
-// TestIdleOfEarlierTermIsIgnored shows that what was said for one drain
-// of a host does not stand for the next.
+// TestIdleOfEarlierTermIsIgnored checks that an idle report for one drain of a host
+// does not count for the next.
 func TestIdleOfEarlierTermIsIgnored(t *testing.T) {
 	d, l := smallFleet(12, 4)
 	now := time.Unix(1e9, 0)
@@ -551,8 +554,8 @@
 	}
 }
 
-// A host that restarts by itself between the list and its order is not taken back
-// while that order may still be sent: it would end what runs there by then.
+// A host that restarts by itself before its order is sent must not return to service
+// while the order may still be sent: the reboot would interrupt the requests on it.
 func TestHostIsNotReturnedBeforeItsOrderExpires(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	at := func(boot int64, d time.Duration, r Record) Output {
@@ -579,7 +582,7 @@
 	require.Equal(t, InService, late.Record.Hosts["h"].State)
 
 	again := at(1, OrderTTL, o.Record)
-	require.Len(t, again.Orders, 1, "a sender that died before it sent the order")
+	require.Len(t, again.Orders, 1, "the first coordinator may have died before it sent the order")
 	require.Equal(t, o.Orders[0].Term, again.Orders[0].Term)
 	require.True(t, again.Orders[0].Deadline.After(o.Orders[0].Deadline))
 }
