--- a/config/adopter.go
+++ b/config/adopter.go
@@ -21,7 +21,8 @@
 	current *Snapshot
 	pending *Head
 	blobs   map[Hash][]byte
-	// ConfirmedAt is when the head was last read from the platform itself.
+	// ConfirmedAt is when the platform itself last confirmed its head, by a read
+	// or by the watch.
 	ConfirmedAt time.Time
 }
 
@@ -81,12 +82,12 @@
 
 // dropUnused drops the sections that the head does not refer to.
 func (a *Adopter) dropUnused(h *Head) {
-	keep := map[Hash]bool{}
+	used := map[Hash]bool{}
 	for _, v := range h.Sections {
-		keep[v] = true
+		used[v] = true
 	}
 	for v := range a.blobs {
-		if !keep[v] {
+		if !used[v] {
 			delete(a.blobs, v)
 		}
 	}
--- a/config/check.go
+++ b/config/check.go
@@ -110,34 +110,34 @@
 	violations ValidationError
 }
 
-func (c *checker) addf(place, format string, a ...any) {
-	c.violations = append(c.violations, Violation{Path: place, Reason: fmt.Sprintf(format, a...)})
+func (c *checker) addf(path, format string, a ...any) {
+	c.violations = append(c.violations, Violation{Path: path, Reason: fmt.Sprintf(format, a...)})
 }
 
 // name checks one name, and that it is not in seen, to which it adds the name.
-func (c *checker) name(place, name string, seen map[string]bool) {
+func (c *checker) name(path, name string, seen map[string]bool) {
 	if !namePattern.MatchString(name) {
-		c.addf(place+".name", "%q is no name: lower-case letters, digits and hyphens, at most 63", name)
+		c.addf(path+".name", "%q is not a valid name: use at most 63 lower-case letters, digits and hyphens", name)
 	}
 	if seen[name] {
-		c.addf(place+".name", "%q stands twice", name)
+		c.addf(path+".name", "%q is a duplicate", name)
 	}
 	seen[name] = true
 }
 
 func (c *checker) root() {
 	if !namePattern.MatchString(c.doc.Operator) {
-		c.addf("operator", "%q is no name", c.doc.Operator)
+		c.addf("operator", "%q is not a valid name", c.doc.Operator)
 	}
 	if len(c.doc.DataCentres) == 0 {
-		c.addf("data_centres", "there are none")
+		c.addf("data_centres", "at least one is required")
 	}
 	seen := map[string]bool{}
 	for i, n := range c.doc.DataCentres {
 		c.name(fmt.Sprintf("data_centres[%d]", i), n, seen)
 	}
 	if c.doc.Placement.MoveWeight < 0 || c.doc.Placement.BufferWeight < 0 {
-		c.addf("placement", "weights are not below zero")
+		c.addf("placement", "weights must not be negative")
 	}
 }
 
@@ -147,7 +147,7 @@
 		p := fmt.Sprintf("teams[%d]", i)
 		c.name(p, t.Name, seen)
 		if t.MaxHosts < 0 || t.MaxAccelerators < 0 {
-			c.addf(p, "a quota is not below zero")
+			c.addf(p, "quotas must not be negative")
 		}
 	}
 }
@@ -161,24 +161,24 @@
 			c.addf(p+".team", "there is no team %q", o.Team)
 		}
 		if len(o.Select) == 0 {
-			c.addf(p+".select", "it selects nothing")
+			c.addf(p+".select", "the selector is empty")
 		}
 		for k, l := range o.Select {
 			if len(l) == 0 {
-				c.addf(p+".select."+k, "it has no values")
+				c.addf(p+".select."+k, "at least one value is required")
 			}
 		}
 		c.budget(p+".budget", o.Budget)
 	}
 }
 
-func (c *checker) budget(place string, b Budget) {
+func (c *checker) budget(path string, b Budget) {
 	for dc, n := range b.MinAvailable {
 		if !slices.Contains(c.doc.DataCentres, dc) {
-			c.addf(place+".available", "there is no data centre %q", dc)
+			c.addf(path+".available", "there is no data centre %q", dc)
 		}
 		if n < 0 {
-			c.addf(place+".available."+dc, "%d is below zero", n)
+			c.addf(path+".available."+dc, "%d is below zero", n)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 			c.addf(p+".weight", "%d is below one", s.Weight)
 		}
 		if len(s.Jobs) == 0 {
-			c.addf(p+".jobs", "there are none")
+			c.addf(p+".jobs", "at least one is required")
 		}
 		jobs := map[string]bool{}
 		for j, v := range s.Jobs {
@@ -230,15 +230,15 @@
 	}
 }
 
-func (c *checker) job(place string, j Job) {
+func (c *checker) job(path string, j Job) {
 	if j.RunTime < 0 {
-		c.addf(place+".run_time", "%s is below zero", j.RunTime)
+		c.addf(path+".run_time", "%s is below zero", j.RunTime)
 	}
 	if j.Timeout <= 0 || j.Timeout > MaxTimeout {
-		c.addf(place+".patience", "%s is not between zero and %s", j.Timeout, MaxTimeout)
+		c.addf(path+".patience", "%s is not between zero and %s", j.Timeout, MaxTimeout)
 	}
 	if j.Replicas < 0 || j.Processors < 0 || j.MemoryBytes < 0 || j.Accelerators < 0 {
-		c.addf(place, "replicas, processors, memory_bytes and accelerators are not below zero")
+		c.addf(path, "replicas, processors, memory_bytes and accelerators must not be negative")
 	}
 }
 
--- a/config/follower.go
+++ b/config/follower.go
@@ -56,8 +56,7 @@
 	return f.current.Load()
 }
 
-// ConfirmedAt returns when the head was last read from the platform itself, or the zero
-// time.
+// ConfirmedAt returns when the platform itself last confirmed its head, or the zero time.
 func (f *Follower) ConfirmedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,6 +145,7 @@
 	}
 }
 
+// markConfirmed records that the platform has just confirmed its head.
 func (f *Follower) markConfirmed() {
 	f.mu.Lock()
 	f.adopter.ConfirmedAt = f.now()
@@ -165,12 +165,12 @@
 func (f *Follower) adopt(ctx context.Context, h *Head, s Source) error {
 	f.mu.Lock()
 	f.adopter.Offer(h)
-	miss := f.adopter.Missing()
+	missing := f.adopter.Missing()
 	f.mu.Unlock()
 	var blobs map[Hash][]byte
-	if len(miss) > 0 {
+	if len(missing) > 0 {
 		var err error
-		blobs, err = s.Sections(ctx, miss)
+		blobs, err = s.Sections(ctx, missing)
 		if err != nil {
 			return err
 		}
--- a/config/publish.go
+++ b/config/publish.go
@@ -87,8 +87,8 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "config: publish")
 	}
-	write := uuid.NewString()
-	next, blobs, err := old.next(d, write)
+	id := uuid.NewString()
+	next, blobs, err := old.next(d, id)
 	if err != nil {
 		return nil, err
 	}
@@ -112,16 +112,16 @@
 // rewrites sections that are already in the store, to raise their revision: a concurrent
 // publisher that deletes a section at its old revision then fails.
 func (p *Publisher) putSections(ctx context.Context, old, next *Head, blobs map[Hash][]byte) error {
-	held := map[Hash]bool{}
+	stored := map[Hash]bool{}
 	for _, h := range old.Sections {
-		held[h] = true
+		stored[h] = true
 	}
 	for _, n := range next.Order {
 		h := next.Sections[n]
-		if held[h] {
+		if stored[h] {
 			continue
 		}
-		held[h] = true
+		stored[h] = true
 		if err := p.putSection(ctx, h, blobs[h]); err != nil {
 			return merry.Prepend(err, "config: section "+n)
 		}
@@ -164,7 +164,7 @@
 // is still the base shows nothing, since the write may arrive late. In that case the same
 // head is written again: the compare-and-swap lets only one of both writes take effect.
 func (p *Publisher) resolveWrite(ctx context.Context, next *Head, base int64) error {
-	settle := func() (struct{}, error) {
+	attempt := func() (struct{}, error) {
 		cur, rev, err := ReadHead(ctx, p.store)
 		if err != nil {
 			return struct{}{}, err
@@ -183,7 +183,7 @@
 		_, err = p.store.Swap(ctx, HeadKey, b, rev)
 		return struct{}{}, err
 	}
-	_, err := backoff.Retry(ctx, settle, p.retryOptions()...)
+	_, err := backoff.Retry(ctx, attempt, p.retryOptions()...)
 	var stale *StaleError
 	if err == nil || errors.As(err, &stale) {
 		return err
@@ -194,15 +194,15 @@
 // removeUnused deletes the sections that only the old head refers to. It ignores errors,
 // as sections that are left behind do no harm.
 func (p *Publisher) removeUnused(ctx context.Context, old, next *Head) {
-	keep := map[Hash]bool{}
+	used := map[Hash]bool{}
 	for _, h := range next.Sections {
-		keep[h] = true
+		used[h] = true
 	}
 	for _, h := range old.Sections {
-		if keep[h] {
+		if used[h] {
 			continue
 		}
-		keep[h] = true
+		used[h] = true
 		p.removeSection(ctx, SectionPrefix+string(h), next)
 	}
 }
--- a/config/sections.go
+++ b/config/sections.go
@@ -40,7 +40,7 @@
 	// WriteID is the id of the write that stored this head.
 	WriteID string `json:"write"`
 	// RecentWrites are the ids of previous writes, newest first. A publisher whose
-	// answer was lost finds out by them whether its write took effect.
+	// answer was lost uses them to find out whether its write took effect.
 	RecentWrites []string `json:"recent,omitempty"`
 	// Order has the names of the sections in the order of the document.
 	Order []string `json:"order"`
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -32,7 +32,7 @@
 }
 
 // BudgetExhausted reports whether fewer hosts are available than the budget
-// requires. As no drain may cause that, failures have.
+// requires. Failures have caused that, as no drain may.
 func (t PoolCapacity) BudgetExhausted() bool {
 	return t.Available < t.MinAvailable
 }
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -26,7 +26,7 @@
 	return Resources{r.Processors + o.Processors, r.MemoryBytes + o.MemoryBytes, r.Accelerators + o.Accelerators}
 }
 
-// JobSpec is one job whose replicas have to be placed, each on another worker.
+// JobSpec is one job whose replicas have to be placed, each on a different worker.
 type JobSpec struct {
 	// Name has the form service/job.
 	Name     string
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -12,8 +12,8 @@
 const (
 	// OrderTTL is how long a reboot order may be sent before it has to be renewed.
 	// A host returns to service only after its order has expired, so OrderTTL also
-	// bounds how long after its reboot a host may stay out of service. A plan is
-	// made twice a second.
+	// bounds how long after its reboot a host may stay out of service. Whether a
+	// new plan is due is checked twice a second.
 	OrderTTL = 3 * time.Second
 	// RebootTimeout is how long a reboot may take before the host is overdue.
 	RebootTimeout = 15 * time.Minute
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -101,7 +101,7 @@
 	return "fleet/" + dc
 }
 
-// DecodeRecord reads a record from its JSON.
+// DecodeRecord decodes a record from JSON.
 func DecodeRecord(b []byte) (Record, error) {
 	r := Record{}
 	if err := json.Unmarshal(b, &r); err != nil {
