--- a/config/publish_test.go
+++ b/config/publish_test.go
@@ -26,10 +26,13 @@
 	// to be in force. refused has those reported not to be.
 	accepted map[int64]string
 	refused  map[string]bool
-	heads    []*Head
-	next     int
-	depth    int
-	faults   bool
+	// heads are all heads that have been seen in the store.
+	heads []*Head
+	// next numbers the documents.
+	next int
+	// depth counts nested publications: each store call may start another one.
+	depth  int
+	faults bool
 }
 
 func newPublishModel(t *rapid.T) *publishModel {
@@ -54,11 +57,11 @@
 	if !write {
 		return standin.Succeeds
 	}
-	fates := []standin.Outcome{
+	outcomes := []standin.Outcome{
 		standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.Succeeds, standin.Succeeds,
 		standin.NotSent, standin.RequestLost, standin.AnswerLost, standin.Delayed,
 	}
-	return rapid.SampledFrom(fates).Draw(m.t, "fate")
+	return rapid.SampledFrom(outcomes).Draw(m.t, "fate")
 }
 
 // document returns a document that differs from all others by its operator.
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -110,7 +110,7 @@
 }
 
 // largestFirst returns the jobs in descending order of size, as large jobs are the
-// hardest to place. It also initializes needs and racks.
+// hardest to place. It also initialises needs and racks.
 func (p *placer) largestFirst() []JobSpec {
 	l := slices.Clone(p.Jobs)
 	for _, j := range l {
--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -49,11 +49,12 @@
 // fleetModel is a data centre with hosts and racks that fail, two coordinators, two
 // entry hosts, a lagging host list and operators.
 type fleetModel struct {
-	t            *rapid.T
-	now          time.Time
-	memory       *standin.FaultyStore
-	hosts        map[string]platform.Host
-	lists        []platform.HostList
+	t      *rapid.T
+	now    time.Time
+	memory *standin.FaultyStore
+	hosts  map[string]platform.Host
+	lists  []platform.HostList
+	// takenTerms has, by host, the term of the last order that the platform took.
 	takenTerms   map[string]int64
 	reboots      map[string]int
 	doc          *config.Document
