--- a/peers/conn.go
+++ b/peers/conn.go
@@ -11,25 +11,25 @@
 	"google.golang.org/grpc/status"
 )
 
-// Conn is the way to one peer. All calls share one connection, which is replaced
-// once it has gone silent. All calls between entry hosts may be done twice: they
-// read, or what they name tells them apart.
+// Conn is the client connection to one peer. All calls share one gRPC connection, which
+// is replaced once it has gone silent. Every call between entry hosts may be sent twice:
+// it only reads, or carries an id by which a repetition is recognised.
 type Conn struct {
 	open func() (*grpc.ClientConn, error)
 	mu   sync.Mutex
 	link *link
 }
 
-// link is one connection. Its counts are guarded by the Conn's mutex.
+// link is one gRPC connection. Its counts are guarded by Conn.mu.
 type link struct {
 	*grpc.ClientConn
-	// pending counts those under way.
+	// pending counts the calls in flight.
 	pending int
-	// answered counts those that were answered.
+	// answered counts the calls that were answered.
 	answered int
 }
 
-// errSilent says that a connection that has answered before does not any more.
+// errSilent says that a connection that has answered before no longer does.
 var errSilent = errors.New("peers: connection has gone silent")
 
 func newConn(open func() (*grpc.ClientConn, error)) (*Conn, error) {
@@ -40,8 +40,8 @@
 	return &Conn{open: open, link: &link{ClientConn: g}}, nil
 }
 
-// Invoke makes one call. A connection that has answered before and brings nothing for
-// half of the call's time is replaced, and the call goes again on the new one.
+// Invoke makes one call. If a connection that has answered before returns nothing for
+// half of the call's time, it is replaced and the call is repeated on the new one.
 func (c *Conn) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
 	f := func(ctx context.Context, l *link) error { return l.Invoke(ctx, method, args, reply, opts...) }
 	err := c.invokeHalf(ctx, f)
@@ -51,7 +51,7 @@
 	return err
 }
 
-// NewStream opens a stream on the connection of the moment.
+// NewStream opens a stream on the current connection.
 func (c *Conn) NewStream(ctx context.Context, d *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	c.mu.Lock()
 	l := c.link
@@ -59,8 +59,8 @@
 	return l.NewStream(ctx, d, method, opts...)
 }
 
-// invokeHalf makes the call within half of its time where the connection has answered
-// before. It returns errSilent where that brought nothing.
+// invokeHalf makes the call within half of its time if the connection has answered
+// before, and returns errSilent if that brought no answer.
 func (c *Conn) invokeHalf(ctx context.Context, f func(context.Context, *link) error) error {
 	l, answers := c.begin()
 	end, bounded := ctx.Deadline()
@@ -90,8 +90,8 @@
 	return c.link, c.link.answered
 }
 
-// end notes the end of a call and closes a connection that was replaced with the last
-// call on it.
+// end records the end of a call. A connection that was replaced is closed after its last
+// call.
 func (c *Conn) end(l *link, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +103,8 @@
 	return err
 }
 
-// replace opens a new connection, unless another call has done so or has been
-// answered on the old one meanwhile.
+// replace opens a new connection, unless another call has done so or was answered on the
+// old one in the meantime.
 func (c *Conn) replace(l *link, answers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,6 +117,7 @@
 	}
 }
 
+// closeIfUnused closes a connection that was replaced and has no calls in flight.
 func (c *Conn) closeIfUnused(l *link) {
 	if l != c.link && l.pending == 0 {
 		_ = l.Close()
@@ -129,7 +130,7 @@
 	_ = c.link.Close()
 }
 
-// answered reports whether the peer has answered a call that ended so.
+// answered reports whether the error of a call shows that the peer answered it.
 func answered(err error) bool {
 	switch status.Code(err) {
 	case codes.DeadlineExceeded, codes.Canceled, codes.Unavailable:
--- a/peers/dialer.go
+++ b/peers/dialer.go
@@ -19,32 +19,31 @@
 // tokenKey is the metadata key of the token that entry hosts share.
 const tokenKey = "amberway-peer-token"
 
-// Times of a connection between entry hosts.
+// Limits of a connection between entry hosts.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	maxRedialDelay = time.Second
-	// keepaliveTime ends a connection to a host that is gone while no call is made;
-	// gRPC takes no less. Calls show silence sooner.
+	// keepaliveTime is when a connection without calls is tested for a host that is gone;
+	// gRPC allows no less. Calls detect silence sooner.
 	keepaliveTime = 10 * time.Second
 	// bufferBytes is the size of each buffer of a connection. Messages are
 	// small, and each process holds a connection to every other.
 	bufferBytes = 2 << 10
 )
 
-// Dialer holds one way to each peer.
+// Dialer holds one Conn per peer.
 type Dialer struct {
 	token string
 	mu    sync.Mutex
 	conns map[netip.AddrPort]*Conn
 }
 
-// NewDialer returns a dialer that shows the token to each peer.
+// NewDialer returns a dialer that sends the token with each call.
 func NewDialer(token string) *Dialer {
 	return &Dialer{token: token, conns: map[netip.AddrPort]*Conn{}}
 }
 
-// Conn returns the way to the peer at the address. Its connection is opened on
-// first use.
+// Conn returns the connection to the peer at the address. It is opened on first use.
 func (d *Dialer) Conn(a netip.AddrPort) (*Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +72,7 @@
 	)
 }
 
-// CloseOthers closes the connections to all other addresses.
+// CloseOthers closes the connections to all addresses that are not in l.
 func (d *Dialer) CloseOthers(l map[netip.AddrPort]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/peers/join.go
+++ b/peers/discovery.go
@@ -13,7 +13,8 @@
 	"amberway/platform"
 )
 
-// register writes the process's address to the platform once.
+// register writes the process's address to the platform's store. It retries until that
+// succeeds.
 func (s *Service) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := s.writeAddress(ctx); err == nil {
@@ -36,7 +37,7 @@
 	return err
 }
 
-// unregister removes what register wrote, unless a later start wrote since.
+// unregister removes what register wrote, unless a later incarnation has written since.
 func (s *Service) unregister(ctx context.Context) {
 	e, err := s.store.Get(ctx, MemberPrefix+s.Self.Name)
 	if err != nil {
@@ -49,9 +50,9 @@
 	_ = s.store.Delete(ctx, e.Key, e.Revision)
 }
 
-// discover looks for entry hosts that the process does not know: all the time
-// while it knows no other, and now and then later, as two groups that started
-// apart from each other would else stay so.
+// discover looks for entry hosts that the process does not know: continuously while it
+// knows no other, and occasionally afterwards, as two groups that started apart from each
+// other would otherwise never merge.
 func (s *Service) discover(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		alone := len(s.Live()) < 2
@@ -80,8 +81,8 @@
 	s.dialer.CloseOthers(keep)
 }
 
-// probeUnknown asks one of the addresses that are of no live member, or all of
-// them.
+// probeUnknown probes the addresses that belong to no live member: all of them, or one at
+// random.
 func (s *Service) probeUnknown(ctx context.Context, l []netip.AddrPort, all bool) {
 	known := map[netip.AddrPort]bool{s.Self.Peer: true}
 	for _, m := range s.Live() {
@@ -99,8 +100,9 @@
 	}
 }
 
-// registeredAddresses reads the addresses that entry hosts wrote to the platform, writes
-// its own anew if it is missing, and removes those of processes that have gone.
+// registeredAddresses reads the addresses that entry hosts wrote to the platform's store.
+// It writes this process's address again if it is missing, and prunes those of processes
+// that are gone.
 func (s *Service) registeredAddresses(ctx context.Context) []netip.AddrPort {
 	l, _, err := s.store.List(ctx, MemberPrefix)
 	if err != nil {
@@ -123,12 +125,13 @@
 	return out
 }
 
-// pruneAfterReads is how many reads in a row an entry has to be of no live member
-// before it is removed. A process that is only cut off writes it again.
+// pruneAfterReads is the number of consecutive reads in which an entry has to belong to
+// no live member before it is removed. A process that was only partitioned writes it
+// again.
 const pruneAfterReads = 12
 
-// prune removes the entry of a process that has gone. The first of the live
-// members does so for all.
+// prune removes the entry of a process that is gone. One live member does so for all, the
+// first by rendezvous score.
 func (s *Service) prune(ctx context.Context, e platform.Entry, m Member) {
 	_, live := s.Member(m.Name)
 	if live {
@@ -145,6 +148,6 @@
 	}
 }
 
-// MemberPrefix begins the key under which each entry host writes its address
-// once, at its start.
+// MemberPrefix begins the key under which each entry host writes its address once, at its
+// start.
 const MemberPrefix = "members/"
--- a/peers/join_test.go
+++ b/peers/discovery_test.go
@@ -11,8 +11,9 @@
 	"amberway/internal/standin"
 )
 
-// TestAddressesOfGoneProcessesAreRemoved shows that an address of no live member
-// goes after some reads, and that a process writes its own again if it is gone.
+// TestAddressesOfGoneProcessesAreRemoved checks that an address that belongs to no live
+// member is removed after some reads, and that a process writes its own address again if
+// it is missing.
 func TestAddressesOfGoneProcessesAreRemoved(t *testing.T) {
 	m := standin.NewFaultyStore()
 	d := NewDialer("token")
--- a/peers/doc.go
+++ b/peers/doc.go
@@ -1,5 +1,6 @@
-// Package peers keeps the table of entry hosts: who is alive, who is suspected
-// and who has gone. Each process probes one other a period and hands news on
-// with the probes, so that its messages a second do not grow with the number of
-// entry hosts. The method is that of SWIM (Das, Gupta and Motivala, 2002).
+// Package peers implements the membership of the entry hosts: which of them are alive,
+// suspected, dead or have left. Each process probes one other per period and sends
+// membership news along with the probes, so that the number of its messages per second
+// does not grow with the number of entry hosts. The protocol is SWIM (Das, Gupta and
+// Motivala, 2002).
 package peers
--- a/peers/member.go
+++ b/peers/member.go
@@ -9,8 +9,7 @@
 	"amberway/peers/peerspb"
 )
 
-// State is what is held of a member. A higher state wins over a lower one of
-// the same version.
+// State is a member's state. A higher state supersedes a lower one of the same version.
 type State uint32
 
 // The states of a member.
@@ -18,7 +17,7 @@
 	Alive State = iota
 	Suspect
 	Dead
-	// Left is the state of a member that said that it stops.
+	// Left is the state of a member that announced that it stops.
 	Left
 )
 
@@ -45,28 +44,28 @@
 			return nil
 		}
 	}
-	return merry.Errorf("peers: %q is no state of a member", b)
+	return merry.Errorf("peers: unknown member state %q", b)
 }
 
 // Member is one entry host.
 type Member struct {
 	// Name is the host's name from its settings.
 	Name string `json:"name"`
-	// Incarnation tells the starts of a process apart; a later one is higher.
+	// Incarnation distinguishes the starts of a process; a later one is higher.
 	Incarnation uint64 `json:"incarnation"`
-	// Peer is the address of its peers' listener.
+	// Peer is the address of its listener for peers.
 	Peer netip.AddrPort `json:"peer"`
-	// Caller is the address of its callers' listener.
+	// Caller is the address of its listener for callers.
 	Caller netip.AddrPort `json:"caller"`
-	// DataCentre is where it stands.
+	// DataCentre is where it runs.
 	DataCentre string `json:"data_centre"`
 	// Version is raised by the member itself to refute a suspicion.
 	Version uint64 `json:"version"`
 	State   State  `json:"state"`
 }
 
-// Supersedes orders what is known of one name: a later incarnation, then a later
-// version, then the higher state.
+// Supersedes reports whether m is newer than o, a member of the same name: it has the
+// later incarnation, then the later version, then the higher state.
 func (m Member) Supersedes(o Member) bool {
 	if c := cmp.Compare(m.Incarnation, o.Incarnation); c != 0 {
 		return c > 0
--- a/peers/service.go
+++ b/peers/service.go
@@ -15,32 +15,34 @@
 	"amberway/platform"
 )
 
-// probeTimeout bounds one probe, direct or by a helper.
+// probeTimeout bounds one probe, direct or through a helper.
 const probeTimeout = 400 * time.Millisecond
 
-// Times of the search for entry hosts that the process does not know.
+// Intervals of the search for entry hosts that the process does not know.
 const (
 	// discoverInterval is how often a process that knows no other looks for one.
 	discoverInterval = 2 * time.Second
-	// seedRounds is how many such times apart one that knows others asks a seed.
+	// seedRounds is the number of rounds of the search between two probes of a seed, for a
+	// process that knows others.
 	seedRounds = 4
-	// registryRounds is how many such times apart it reads the platform's list.
+	// registryRounds is the number of rounds between two reads of the addresses in the
+	// platform's store.
 	registryRounds = 20
 )
 
-// Settings of a Service.
+// Settings are the settings of a Service.
 type Settings struct {
 	Self Member
-	// Seeds are addresses of peers known from settings.
+	// Seeds are the configured addresses of peers.
 	Seeds   []netip.AddrPort
 	Options Options
-	// Generation tells the generation in force, handed on with each probe.
+	// Generation returns the generation in force, which is sent with each probe.
 	Generation func() int64
-	// OnGeneration is called when a peer has a higher one.
+	// OnGeneration is called when a peer has a higher generation.
 	OnGeneration func(ctx context.Context, m Member)
 }
 
-// Service runs the membership of one process.
+// Service runs the membership protocol of one process.
 type Service struct {
 	peerspb.UnimplementedPeersServer
 	Settings
@@ -53,16 +55,16 @@
 	live   atomic.Pointer[[]Member]
 	// ProbesSent counts the probes sent.
 	ProbesSent atomic.Int64
-	// contacted holds the incarnations of members that have answered.
+	// contacted holds the incarnations of the members that have answered, by name.
 	contacted map[string]uint64
-	// unseenReads counts for each address in the platform the reads in a row that
-	// found no live member with it. Only the search for members uses it.
+	// unseenReads counts, for each address in the platform's store, the consecutive reads
+	// that found no live member with it. Only discover uses it.
 	unseenReads map[string]int
-	// fetching bounds the fetches of a newer generation to one at a time.
+	// fetching is set while a newer generation is fetched, which is done one at a time.
 	fetching atomic.Bool
 }
 
-// New returns a membership that is not running yet.
+// New returns a Service that is not running yet.
 func New(d common.Deps, s Settings, l *Dialer, store platform.Store) *Service {
 	r := rand.New(rand.NewPCG(rand.Uint64(), s.Self.Incarnation))
 	v := &Service{
@@ -79,13 +81,13 @@
 	return v
 }
 
-// Live returns the members that are alive or only suspected, itself included.
+// Live returns the members that are alive or only suspected, including this process.
 func (s *Service) Live() []Member {
 	return *s.live.Load()
 }
 
-// LiveNames returns the names of the live members of a data centre, or of all
-// where dc is empty.
+// LiveNames returns the names of the live members of a data centre, or of all if dc is
+// empty.
 func (s *Service) LiveNames(dc string) []string {
 	var l []string
 	for _, m := range s.Live() {
@@ -113,14 +115,13 @@
 	return s.table.Members()
 }
 
-// publish makes the live members readable without a lock. The caller holds mu
-// or is New.
+// publish makes the live members readable without a lock. The caller holds mu, or is New.
 func (s *Service) publish() {
 	l := s.table.Live()
 	s.live.Store(&l)
 }
 
-// Run probes one peer a period until the context ends.
+// Run probes one peer per period until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	go s.register(ctx)
 	go s.discover(ctx)
@@ -148,8 +149,8 @@
 	return s.table.Tick(s.now())
 }
 
-// probe asks the member directly, then through helpers, and suspects it where
-// none of them has an answer.
+// probe probes the member directly, then through helpers, and suspects it if none of them
+// gets an answer.
 func (s *Service) probe(ctx context.Context, m Member) {
 	if s.sendProbe(ctx, m, &peerspb.ProbeRequest{}) {
 		return
@@ -172,9 +173,8 @@
 	s.publish()
 }
 
-// sendProbe sends one probe and takes in the reply. It reports whether the member
-// that was asked about is alive. A member known from settings has an address
-// only.
+// sendProbe sends one probe and merges the reply. It reports whether the member that the
+// probe is about, m or the one named by Via, is alive. For a seed, m has an address only.
 func (s *Service) sendProbe(ctx context.Context, m Member, q *peerspb.ProbeRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
@@ -195,6 +195,7 @@
 	return q.GetVia() == "" || r.GetAlive()
 }
 
+// fillRequest adds what every probe to the named member carries.
 func (s *Service) fillRequest(q *peerspb.ProbeRequest, to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,13 +204,14 @@
 	q.Generation = s.Generation()
 }
 
-// mergeNews merges what a peer handed on.
+// mergeNews merges the news that a peer sent, and fetches its generation if that is
+// newer.
 func (s *Service) mergeNews(ctx context.Context, from *peerspb.Member, news []*peerspb.Member, gen int64) {
 	var l []Member
 	for _, p := range append(news, from) {
 		m, err := memberOf(p)
 		if err != nil {
-			s.log.Warnf("news dropped: %v", err)
+			s.log.Warnf("invalid member ignored: %v", err)
 			continue
 		}
 		l = append(l, m)
@@ -225,7 +227,7 @@
 	}
 }
 
-// fetchGeneration has the newer generation fetched, one at a time.
+// fetchGeneration calls OnGeneration in the background, one call at a time.
 func (s *Service) fetchGeneration(ctx context.Context, m Member) {
 	if !s.fetching.CompareAndSwap(false, true) {
 		return
@@ -236,7 +238,7 @@
 	}()
 }
 
-// Probe answers a peer's probe, or passes it on.
+// Probe answers a peer's probe, after probing another member for it if it names one.
 func (s *Service) Probe(ctx context.Context, q *peerspb.ProbeRequest) (*peerspb.ProbeReply, error) {
 	s.mergeNews(ctx, q.GetFrom(), q.GetNews(), q.GetGeneration())
 	r := &peerspb.ProbeReply{Generation: s.Generation()}
@@ -263,7 +265,7 @@
 	return s.sendProbe(ctx, m, &peerspb.ProbeRequest{})
 }
 
-// Leave tells the peers that the process stops.
+// Leave tells the peers that the process stops, and removes its address from the store.
 func (s *Service) Leave(ctx context.Context) {
 	s.mu.Lock()
 	s.table.Leave()
@@ -278,7 +280,7 @@
 	s.unregister(ctx)
 }
 
-// Register offers the service on a server.
+// Register registers the service on a gRPC server.
 func (s *Service) Register(g *grpc.Server) {
 	peerspb.RegisterPeersServer(g, s)
 }
--- a/peers/holding.go
+++ b/peers/share_holders.go
@@ -10,11 +10,11 @@
 	"amberway/peers/peerspb"
 )
 
-// ShareHolders returns the names of the members of the data centre that may use what
-// is shared out among them. A member that is silent, and so taken for dead, is
-// one of them: it may be paused or cut off and use its share at any time. It
-// holds it until it says that it leaves, its process is known to have ended, or
-// it is forgotten.
+// ShareHolders returns the names of the members of the data centre among which shared
+// limits are divided. A member that is silent, and therefore considered dead, is one of
+// them: it may be paused or partitioned, and may use its share at any time. It counts
+// until it announces that it leaves, its process is known to have ended, or it is
+// forgotten.
 func (t *Table) ShareHolders(dc string) []string {
 	var l []string
 	for _, m := range t.Members() {
@@ -25,8 +25,8 @@
 	return l
 }
 
-// Silent returns the members of the data centre that are taken for dead because
-// they do not answer.
+// Silent returns the members of the data centre that are considered dead because they do
+// not answer.
 func (t *Table) Silent(dc string) []Member {
 	var l []Member
 	for _, m := range t.Members() {
@@ -37,15 +37,15 @@
 	return l
 }
 
-// MarkEnded notes that the process of the member, in its incarnation, has ended.
+// MarkEnded records that the process of the member, in its incarnation, has ended.
 func (t *Table) MarkEnded(m Member) {
 	if e, ok := t.rows[m.Name]; ok && e.Incarnation == m.Incarnation {
 		e.ended = true
 	}
 }
 
-// processEnded reports whether the member's process is known to have ended: it was seen
-// so, or a live member of another name has its address.
+// processEnded reports whether the member's process is known to have ended: MarkEnded was
+// called for it, or a live member of another name has its address.
 func (t *Table) processEnded(m Member) bool {
 	if m.State != Dead {
 		return false
@@ -61,20 +61,20 @@
 	return false
 }
 
-// listenerCheckPeriods is how many periods apart the address of a silent member is tried.
+// listenerCheckPeriods is the number of probe periods between two checks of the listeners
+// of silent members.
 const listenerCheckPeriods = 2
 
-// ShareHolders returns the names of the members of the data centre that may use what
-// is shared out among them.
+// ShareHolders returns the names of the members of the data centre among which shared
+// limits are divided.
 func (s *Service) ShareHolders(dc string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.ShareHolders(dc)
 }
 
-// checkListeners tries the address of each silent member of the data centre. Where
-// nothing listens any more the process has ended, as it closes its listener
-// last.
+// checkListeners dials the address of each silent member of the data centre. If the
+// connection is refused, the process has ended, as it closes its listener last.
 func (s *Service) checkListeners(ctx context.Context) {
 	s.mu.Lock()
 	l := s.table.Silent(s.Self.DataCentre)
@@ -97,11 +97,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.MarkEnded(m)
-	s.log.Infof("%s has ended", m.Name)
+	s.log.Infof("process of %s has ended", m.Name)
 }
 
-// PullTables asks every live member of the data centre for its table, after a pause
-// in which others may have joined. One that does not answer is left out.
+// PullTables asks every live member of the data centre for its table, for use after a
+// pause of the process, in which others may have joined. Members that do not answer are
+// left out.
 func (s *Service) PullTables(ctx context.Context) {
 	var g sync.WaitGroup
 	for _, m := range s.Live() {
--- a/peers/holding_test.go
+++ b/peers/share_holders_test.go
@@ -19,8 +19,8 @@
 	return Member{Name: name, Incarnation: 1, State: s, DataCentre: dc, Peer: a, Caller: a}
 }
 
-// TestSilentMemberHoldsItsShare shows who counts in what is shared out: a member
-// that is only silent does, one that left, ended or was replaced does not.
+// TestSilentMemberHoldsItsShare checks among whom shared limits are divided: a member
+// that is only silent counts, one that has left, ended or been replaced does not.
 func TestSilentMemberHoldsItsShare(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	self := newMember("a", 1, "north", Alive)
@@ -45,9 +45,9 @@
 	again := newMember("d", 4, "north", Dead)
 	again.Incarnation = 2
 	merge(again)
-	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"), "a later process of the same name")
+	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"), "a later process of the same name counts again")
 	b.MarkEnded(newMember("d", 4, "north", Dead))
-	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"), "the end of the process before it")
+	require.Equal(t, []string{"a", "b", "c", "d"}, b.ShareHolders("north"), "the end of the process before it changes nothing")
 
 	merge(newMember("g", 4, "north", Alive))
 	require.Equal(t, []string{"a", "b", "c", "g"}, b.ShareHolders("north"), "another process has its address")
@@ -59,9 +59,9 @@
 	require.NotContains(t, b.ShareHolders("north"), "d")
 }
 
-// TestOnlyARefusedConnectionShowsThatAProcessHasEnded knocks at a silent member
-// whose listener is open and takes nothing, as that of a paused process, and
-// then is closed.
+// TestOnlyARefusedConnectionShowsThatAProcessHasEnded checks the listener of a silent
+// member while it is open but accepts nothing, as that of a paused process, and once it
+// is closed.
 func TestOnlyARefusedConnectionShowsThatAProcessHasEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -80,8 +80,8 @@
 	require.Equal(t, []string{"a"}, s.ShareHolders("north"))
 }
 
-// TestMemberIsContactedOnceItAnswers shows that a member counts as met by its answer,
-// and a later process of its name does not.
+// TestMemberIsContactedOnceItAnswers checks that a member counts as contacted once it has
+// answered, and that a later process of its name does not.
 func TestMemberIsContactedOnceItAnswers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -99,14 +99,14 @@
 	defer g.Stop()
 
 	a := service(newMember("a", 1, "north", Alive))
-	require.True(t, a.ContactedAll("north"), "nobody else is there")
+	require.True(t, a.ContactedAll("north"), "there is no other member")
 	a.table.Merge(time.Now(), []Member{other})
 	a.publish()
 	require.False(t, a.ContactedAll("north"))
 	require.True(t, a.ContactedAll("south"))
 	a.PullTables(t.Context())
 	require.True(t, a.ContactedAll("north"))
-	require.Contains(t, b.ShareHolders("north"), "a", "what it means to be met")
+	require.Contains(t, b.ShareHolders("north"), "a", "a member that has answered knows of this process")
 
 	other.Incarnation++
 	a.table.Merge(time.Now(), []Member{other})
--- a/peers/silence_test.go
+++ b/peers/silence_test.go
@@ -16,14 +16,14 @@
 	"amberway/peers/peerspb"
 )
 
-// countedPeer answers each probe, or none once it is stuck.
+// countedPeer counts probes and answers them, unless it is stuck.
 type countedPeer struct {
 	peerspb.UnimplementedPeersServer
 	probes atomic.Int64
 	stuck  atomic.Bool
 }
 
-// Probe counts and answers.
+// Probe counts the probe and answers it.
 func (p *countedPeer) Probe(ctx context.Context, _ *peerspb.ProbeRequest) (*peerspb.ProbeReply, error) {
 	p.probes.Add(1)
 	if p.stuck.Load() {
@@ -49,7 +49,7 @@
 	return p, v, d
 }
 
-// probe sends one probe within the time that ask allows.
+// probe sends one probe with the timeout within.
 func probe(t *testing.T, d *Dialer, at netip.AddrPort, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
@@ -65,7 +65,7 @@
 			_, v, d := newSilentPeer(t)
 			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout))
 			require.Equal(t, 1, v.Silence(w))
-			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout), "it goes again on a new connection")
+			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout), "the probe is repeated on a new connection")
 			require.NoError(t, probe(t, d, v.Address(), probeTimeout))
 			require.Equal(t, int64(2), v.Opened())
 		})
@@ -93,6 +93,6 @@
 	for range 3 {
 		require.Equal(t, codes.DeadlineExceeded, status.Code(probe(t, d, v.Address(), probeTimeout)))
 	}
-	require.Equal(t, int64(2), v.Opened(), "a connection that never answered has not gone silent")
+	require.Equal(t, int64(2), v.Opened(), "a connection that has never answered is not replaced")
 	require.Equal(t, int64(5), p.probes.Load())
 }
--- a/peers/table.go
+++ b/peers/table.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Options bound the table's messages and times.
+// Options are the limits and times of a Table.
 type Options struct {
 	// Period is the time between two probes.
 	Period time.Duration
-	// SuspicionTimeout is how long a suspected member has to refute it.
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion.
 	SuspicionTimeout time.Duration
-	// ForgetAfter is how long a member that is dead or left is remembered.
+	// ForgetAfter is how long a member that is dead or has left is remembered.
 	ForgetAfter time.Duration
-	// MaxNews is the most members handed on with one probe.
+	// MaxNews is the most members sent as news with one probe.
 	MaxNews int
-	// Helpers is how many others are asked to probe one that did not answer.
+	// Helpers is the number of members that are asked to probe one that did not answer.
 	Helpers int
-	// DeadProbePeriods is the number of periods between two probes of a dead
-	// member, by which two sides of a healed cut find each other again.
+	// DeadProbePeriods is the number of periods between two probes of a dead member, by
+	// which the two sides of a healed partition find each other again.
 	DeadProbePeriods int
 }
 
-// DefaultOptions returns options that detect a frozen process in about three
+// DefaultOptions returns options by which a frozen process is detected in about three
 // seconds.
 func DefaultOptions() Options {
 	return Options{
@@ -41,19 +41,19 @@
 // entry is one row of the table.
 type entry struct {
 	Member
-	// suspectUntil is when a suspicion becomes a death.
+	// suspectUntil is when a suspected member is considered dead.
 	suspectUntil time.Time
-	// forgetAt is when a dead row is dropped.
+	// forgetAt is when the row of a member that is dead or has left is removed.
 	forgetAt time.Time
-	// sendsLeft is how often the row is still to be handed on.
+	// sendsLeft is how many more times the row is sent as news.
 	sendsLeft int
-	// changeNumber numbers the changes of all rows; the newest goes first.
+	// changeNumber numbers the changes of all rows; the newest are sent first.
 	changeNumber int
-	// ended says that the process is known to have ended, and not only silent.
+	// ended says that the process is known to have ended, and is not only silent.
 	ended bool
 }
 
-// Table is the membership as one process sees it. It has no clock and no I/O.
+// Table is the membership as one process sees it. It has no clock and does no I/O.
 type Table struct {
 	options   Options
 	self      Member
@@ -65,7 +65,7 @@
 	random    *rand.Rand
 }
 
-// NewTable returns a table that holds only the process itself.
+// NewTable returns a table with only the process itself.
 func NewTable(self Member, o Options, r *rand.Rand) *Table {
 	t := &Table{options: o, self: self, rows: map[string]*entry{}, random: r}
 	t.rows[self.Name] = &entry{Member: self, sendsLeft: o.MaxNews}
@@ -77,7 +77,7 @@
 	return t.rows[t.self.Name].Member
 }
 
-// Members returns all rows in the order of their names.
+// Members returns all rows, sorted by name.
 func (t *Table) Members() []Member {
 	l := make([]Member, 0, len(t.rows))
 	for _, e := range t.rows {
@@ -87,13 +87,14 @@
 	return l
 }
 
-// Live returns the members that are alive or only suspected, itself included.
+// Live returns the members that are alive or only suspected, including the process
+// itself.
 func (t *Table) Live() []Member {
 	return slices.DeleteFunc(t.Members(), func(m Member) bool { return m.State > Suspect })
 }
 
-// Merge takes in what another member knows, and refutes what is wrong about
-// the process itself. It reports whether anything changed.
+// Merge merges what another member knows, and refutes what is wrong about the process
+// itself. It reports whether anything changed.
 func (t *Table) Merge(now time.Time, l []Member) bool {
 	changed := false
 	for _, m := range l {
@@ -119,7 +120,7 @@
 	return true
 }
 
-// refute raises the process's own version above a claim that it is not alive.
+// refute raises the process's own version above that of a claim that it is not alive.
 func (t *Table) refute(e *entry, m Member) bool {
 	if e.State == Left || m.Incarnation != e.Incarnation || !m.Supersedes(e.Member) {
 		return false
@@ -129,14 +130,14 @@
 	return true
 }
 
-// set replaces a row and makes it news.
+// set replaces a row and marks it as news.
 func (t *Table) set(now time.Time, m Member) {
 	e, ok := t.rows[m.Name]
 	if !ok {
 		e = &entry{}
 		t.rows[m.Name] = e
-		// A place at random keeps hosts that learn the same table at the same
-		// time from probing it in the same order.
+		// A random position keeps hosts that learn the same table at the same time from
+		// probing it in the same order.
 		t.order = slices.Insert(t.order, t.random.IntN(len(t.order)+1), m.Name)
 	}
 	old := e.Incarnation
@@ -153,21 +154,21 @@
 	}
 }
 
-// markNews makes a row news.
+// markNews has a row sent as news.
 func (t *Table) markNews(e *entry) {
 	t.changes++
 	e.changeNumber = t.changes
 	e.sendsLeft = t.sendLimit()
 }
 
-// sendLimit is how often a row is handed on: it grows with the logarithm of the
-// table, which spreads it to all with high probability.
+// sendLimit returns how many times a row is sent as news: it grows with the logarithm of
+// the table's size, by which the row reaches all members with high probability.
 func (t *Table) sendLimit() int {
 	return 3 * (bits.Len(uint(len(t.rows))) + 1)
 }
 
-// Tick ends suspicions that are due, forgets old rows and returns the member
-// to probe in this period, or false where there is none.
+// Tick ends the suspicions that are due, forgets old rows and returns the member to probe
+// in this period, or false if there is none.
 func (t *Table) Tick(now time.Time) (Member, bool) {
 	t.ticks++
 	t.expire(now)
@@ -193,8 +194,8 @@
 	}
 }
 
-// nextLive returns the next live member of a round through a shuffled order, so
-// that each is probed once a round.
+// nextLive returns the next live member of a round through a shuffled order, so that each
+// is probed once per round.
 func (t *Table) nextLive() (Member, bool) {
 	for range len(t.order) {
 		if t.nextIndex >= len(t.order) {
@@ -212,7 +213,7 @@
 	return Member{}, false
 }
 
-// pickRandom returns one member at random for which f holds.
+// pickRandom returns a random member for which f holds.
 func (t *Table) pickRandom(f func(Member) bool) (Member, bool) {
 	var l []Member
 	for _, n := range t.order {
@@ -226,7 +227,7 @@
 	return l[t.random.IntN(len(l))], true
 }
 
-// Helpers returns the members to ask for a probe of one that did not answer.
+// Helpers returns the members that are to probe the named one, which did not answer.
 func (t *Table) Helpers(name string) []Member {
 	var l []Member
 	for range t.options.Helpers {
@@ -241,8 +242,8 @@
 	return l
 }
 
-// Suspect notes that neither the process nor its helpers reached the member in
-// the incarnation and version that were probed.
+// Suspect marks the member as suspected, after neither the process nor its helpers
+// reached it in the incarnation and version of m.
 func (t *Table) Suspect(now time.Time, m Member) {
 	e, ok := t.rows[m.Name]
 	if !ok || e.State != Alive || e.Incarnation != m.Incarnation || e.Version != m.Version {
@@ -260,9 +261,9 @@
 	t.markNews(e)
 }
 
-// NewsFor returns the rows to hand on with the next message to the named member:
-// its own row, if it is not held to be alive, so that it can refute that, and
-// those that were handed on the least often.
+// NewsFor returns the rows to send with the next message to the named member: those that
+// were sent the fewest times, and its own row if it is not considered alive, so that it
+// can refute that.
 func (t *Table) NewsFor(name string) []Member {
 	l := t.takeNews()
 	if e, ok := t.rows[name]; ok && e.State != Alive {
@@ -271,6 +272,7 @@
 	return l
 }
 
+// takeNews returns the rows to send next, and counts them as sent.
 func (t *Table) takeNews() []Member {
 	var l []*entry
 	for _, e := range t.rows {
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// network is some entry hosts with tables of their own, between which messages
-// are lost, cut and delayed by freezes.
+// network is a number of entry hosts, each with its own table, between which messages are
+// lost by partitions and freezes.
 type network struct {
 	t           *rapid.T
 	now         time.Time
@@ -41,13 +41,13 @@
 	return NewTable(m, DefaultOptions(), rand.New(rand.NewPCG(uint64(i), 7)))
 }
 
-// reaches reports whether a message from one gets to the other: a cut parts
+// reaches reports whether a message from one host gets to the other: a partition divides
 // the hosts into two sides.
 func (w *network) reaches(i, j int) bool {
 	return !w.frozen[i] && !w.frozen[j] && w.partitioned[i] == w.partitioned[j]
 }
 
-// exchangeTables exchanges whole tables, as a start by seeds does.
+// exchangeTables exchanges whole tables, as a process does with a seed at its start.
 func (w *network) exchangeTables(i, j int) {
 	if w.reaches(i, j) {
 		w.tables[i].Merge(w.now, w.tables[j].Members())
@@ -61,7 +61,7 @@
 	return i
 }
 
-// period lets every host that is not frozen probe once.
+// period has every host that is not frozen probe once.
 func (w *network) period() {
 	w.now = w.now.Add(DefaultOptions().Period)
 	for i, t := range w.tables {
@@ -89,7 +89,7 @@
 	t.Suspect(w.now, m)
 }
 
-// exchangeNews hands news on both ways.
+// exchangeNews exchanges news in both directions, and reports whether that succeeded.
 func (w *network) exchangeNews(i, j int) bool {
 	if !w.reaches(i, j) {
 		return false
@@ -100,13 +100,13 @@
 	return true
 }
 
-// check requires that no host takes itself for gone, and that its own row only
-// grows.
+// check requires that no host considers itself dead, and that the version of its own row
+// does not fall.
 func (w *network) check(t *rapid.T) {
 	for i, v := range w.tables {
 		s := v.Self()
 		if s.State != Alive {
-			t.Fatalf("%s takes itself to be %s", s.Name, s.State)
+			t.Fatalf("%s considers itself %s", s.Name, s.State)
 		}
 		if w.last[i].Supersedes(s) {
 			t.Fatalf("%s went back from version %d to %d", s.Name, w.last[i].Version, s.Version)
@@ -115,8 +115,8 @@
 	}
 }
 
-// converged reports whether each running host holds exactly the running ones to
-// be alive and not suspected.
+// converged reports whether every running host considers exactly the running ones to be
+// alive.
 func (w *network) converged() bool {
 	for i, v := range w.tables {
 		if w.frozen[i] {
@@ -138,9 +138,8 @@
 	return true
 }
 
-// TestMembersAgreeOnceTheNetworkHeals proves that after any freezes, cuts and
-// restarts all running hosts come to hold exactly the running ones to be
-// alive.
+// TestMembersAgreeOnceTheNetworkHeals checks that after any freezes, partitions and
+// restarts all running hosts come to consider exactly the running ones to be alive.
 func TestMembersAgreeOnceTheNetworkHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "hosts")
@@ -181,8 +180,8 @@
 	}
 }
 
-// rejoin does what Service.rejoin does: a process that knows no other asks all
-// its seeds, one that does asks one of them.
+// rejoin does what Service.discover does: a process that knows no other asks all its
+// seeds, one that knows others asks one of them.
 func (w *network) rejoin(turn int) {
 	n := len(w.tables)
 	for i, v := range w.tables {
@@ -195,8 +194,9 @@
 	}
 }
 
-// TestFrozenMemberIsSuspectedInTime shows how long a frozen member goes unnoticed at
-// several sizes, and that the probes of each process do not grow with them.
+// TestFrozenMemberIsSuspectedInTime measures how long a frozen member goes unnoticed at
+// several sizes, and checks that the number of probes of each process does not grow with
+// them.
 func TestFrozenMemberIsSuspectedInTime(t *testing.T) {
 	for _, n := range []int{3, 9, 30, 90} {
 		w := newNetwork(nil, n)
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestHealedPartitionMergesWithoutSeeds shows that members that hold each
-// other to be dead come back by themselves once the cut heals.
+// TestHealedPartitionMergesWithoutSeeds checks that members that consider each other dead
+// recover by themselves once the partition heals.
 func TestHealedPartitionMergesWithoutSeeds(t *testing.T) {
 	w := newNetwork(nil, 4)
 	w.partitioned = map[int]bool{0: true, 1: true}
