--- a/job/incarnation_test.go
+++ b/job/incarnation_test.go
@@ -174,11 +174,11 @@
 	f := newRestartFixture(t, "w2")
 	f.listed()
 	w := onHost("w1")
-	w.InvalidStartReason = "start \"soon\" is no whole number"
+	w.InvalidStartReason = "start \"soon\" is not a whole number"
 	f.step(WorkerListed{Worker: w})
 	for range 3 {
 		f.pass(pollWait)
-		f.answer(firstIncarnation, platform.PollReply{ReportedStart: platform.ReportedStart{InvalidReason: "start -1 is no time"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
+		f.answer(firstIncarnation, platform.PollReply{ReportedStart: platform.ReportedStart{InvalidReason: "start -1 is out of range"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
 	}
 	require.Empty(t, f.starts())
 	require.Equal(t, 2, f.countLogged("worker start time invalid"), "once by its record, once by its answers")
