--- a/peers/dialer.go
+++ b/peers/dialer.go
@@ -23,8 +23,8 @@
 const (
 	dialTimeout    = 500 * time.Millisecond
 	maxRedialDelay = time.Second
-	// keepaliveTime is when a connection without calls is tested for a host that is gone;
-	// gRPC allows no less. Calls detect silence sooner.
+	// keepaliveTime ends a connection to a host that is gone while no call is made; gRPC
+	// allows no less. Calls detect silence sooner.
 	keepaliveTime = 10 * time.Second
 	// bufferBytes is the size of each buffer of a connection. Messages are
 	// small, and each process holds a connection to every other.
--- a/peers/discovery.go
+++ b/peers/discovery.go
@@ -50,8 +50,8 @@
 	_ = s.store.Delete(ctx, e.Key, e.Revision)
 }
 
-// discover looks for entry hosts that the process does not know: continuously while it
-// knows no other, and occasionally afterwards, as two groups that started apart from each
+// discover looks for entry hosts that the process does not know: in every round while it
+// knows no other, and less often afterwards, as two groups that started apart from each
 // other would otherwise never merge.
 func (s *Service) discover(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
