--- a/peers/service.go
+++ b/peers/service.go
@@ -173,8 +173,8 @@
 	s.publish()
 }
 
-// sendProbe sends one probe and merges the reply. It reports whether the member that the
-// probe is about, m or the one named by Via, is alive. For a seed, m has an address only.
+// sendProbe sends one probe and merges the reply. It reports whether the probed member is
+// alive: m, or the one that Via names. For a seed, m has an address only.
 func (s *Service) sendProbe(ctx context.Context, m Member, q *peerspb.ProbeRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
