--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -17,13 +17,13 @@
 	"amberway/common"
 )
 
-// Load says what a caller sends.
+// Load describes the requests that a caller sends.
 type Load struct {
 	// Entries are the base URLs of the entry hosts.
 	Entries []string
-	// Requests are the paths of the requests, taken in turn.
+	// Requests are the kinds of requests, taken in turn.
 	Requests []Request
-	// Count is the number of requests.
+	// Count is the total number of requests.
 	Count int
 	// Interval is the time between two requests.
 	Interval time.Duration
@@ -36,11 +36,11 @@
 	AtMostOnce bool
 	// Timeout is how long the caller waits for an answer.
 	Timeout time.Duration
-	// RunTime is how long the target is to run.
+	// RunTime overrides the run time of the target if it is positive.
 	RunTime time.Duration
 }
 
-// LoadReport is what became of a load.
+// LoadReport counts the outcomes of the requests of a load.
 type LoadReport struct {
 	Sent       int `json:"sent"`
 	Answered   int `json:"answered_whole_and_in_time"`
@@ -49,12 +49,12 @@
 	MayHaveRun int `json:"may_have_run"`
 	Lost       int `json:"lost"`
 	Mismatched int `json:"crossed"`
-	// IDs are the ids of requests that may not be repeated, with the verdict.
+	// IDs maps the ids of requests that may not be repeated to their verdicts.
 	IDs map[string]string `json:"ids"`
-	// Failures tells of the first requests without a whole answer in time, so
-	// that what became of them can be traced.
+	// Failures describes the first requests without a complete answer in time, so
+	// that they can be traced.
 	Failures []string `json:"failures,omitempty"`
-	// MaxLatency is the longest time that an answer took.
+	// MaxLatency is the longest time that a correct answer in time took.
 	MaxLatency time.Duration `json:"longest_nanoseconds"`
 }
 
@@ -65,7 +65,7 @@
 	report LoadReport
 }
 
-// NewCaller returns a caller that has sent nothing.
+// NewCaller returns a caller with an empty report.
 func NewCaller() *Caller {
 	t := &http.Transport{MaxIdleConnsPerHost: 256}
 	return &Caller{client: &http.Client{Transport: t}, report: LoadReport{IDs: map[string]string{}}}
@@ -82,8 +82,8 @@
 	return c.report
 }
 
-// maxAttempts is how many entry hosts one request is tried at, as a balancer
-// would, as long as no connection is had.
+// maxAttempts is how many entry hosts a request is tried at while they refuse the
+// connection, as a load balancer does.
 const maxAttempts = 3
 
 func (c *Caller) request(ctx context.Context, l Load, i int) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// reply is an answer that was read to its end.
+// reply is an answer with its body.
 type reply struct {
 	status  int
 	verdict string
@@ -123,7 +123,7 @@
 	if id != "" {
 		req.Header.Set(common.HeaderIdempotencyKey, id)
 		req.Header.Set(common.HeaderRepeatable, strconv.FormatBool(false))
-		// A body that cannot be read again keeps net/http from repeating it.
+		// net/http resends no request whose body it cannot read again.
 		req.GetBody = nil
 	}
 	if p.RunTime > 0 {
@@ -146,7 +146,7 @@
 	return errors.Is(err, errRefused)
 }
 
-// maxFailures bounds what a Tally tells of.
+// maxFailures bounds LoadReport.Failures.
 const maxFailures = 10
 
 func (c *Caller) record(p Request, id string, body []byte, start time.Time, r reply, err error) {
@@ -157,8 +157,8 @@
 	if id != "" {
 		c.report.IDs[id] = r.verdict
 	}
-	whole := err == nil && r.status == http.StatusOK && took <= p.Timeout
-	if !whole && len(c.report.Failures) < maxFailures {
+	complete := err == nil && r.status == http.StatusOK && took <= p.Timeout
+	if !complete && len(c.report.Failures) < maxFailures {
 		c.report.Failures = append(c.report.Failures,
 			fmt.Sprintf("%s at %s after %s: %d %s %s %v", p.Path, start.Format(time.StampMilli), took, r.status, r.verdict, r.body, err))
 	}
--- a/internal/standin/cmd/standin/main.go
+++ b/internal/standin/cmd/standin/main.go
@@ -1,5 +1,4 @@
-// Command standin runs the stand-ins of the platform, of a target and of a
-// caller.
+// Command standin runs a stand-in of the platform, of a target or of a caller.
 package main
 
 import (
@@ -75,7 +74,7 @@
 	case a.Caller != nil:
 		return runCaller(a.Caller)
 	default:
-		return errors.New("name a command")
+		return errors.New("no command given")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin holds small programs that take the place of what surrounds
-// amberway in tests and in the demo: the platform, a target and a caller. Their
-// faults are switched while they run. Nothing of them ships.
+// Package standin provides stand-ins for the systems around amberway, for tests
+// and the demo: the platform, a target and a caller. Faults can be injected while
+// they run. It is not part of a release.
 package standin
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// Fault is what is wrong with a stand-in for now.
+// Fault is a fault that is injected into a stand-in.
 type Fault struct {
-	// Down drops every connection before anything is done.
+	// Down drops every connection without handling the request.
 	Down bool `json:"down,omitempty"`
-	// LoseAnswers does what is asked and drops the connection.
+	// LoseAnswers handles each request and drops the connection instead of answering.
 	LoseAnswers bool `json:"lose_answers,omitempty"`
-	// DelayMs delays every call by so many milliseconds.
+	// DelayMs delays each request by this many milliseconds.
 	DelayMs int `json:"slow_milliseconds,omitempty"`
-	// FailAll answers every run with status 500 at once.
+	// FailAll answers all runs with status 500 at once.
 	FailAll bool `json:"fail,omitempty"`
-	// FailPrefix answers runs of one path with status 500 at once.
+	// FailPrefix answers runs of paths with this prefix with status 500 at once.
 	FailPrefix string `json:"fail_job,omitempty"`
 	// TruncateAnswers sends half of each answer and drops the connection.
 	TruncateAnswers bool `json:"half,omitempty"`
-	// Hang never answers.
+	// Hang leaves all runs without an answer.
 	Hang bool `json:"hang,omitempty"`
 }
 
-// Faults holds the fault of each named listener; the name "all" is for every
-// one.
+// Faults holds the fault of each named listener. A fault of All applies to every
+// listener, in place of its own.
 type Faults struct {
 	mu sync.Mutex
 	m  map[string]Fault
 }
 
-// All names every listener.
+// All stands for every listener.
 const All = "all"
 
-// NewFaults returns no faults.
+// NewFaults returns Faults without any fault.
 func NewFaults() *Faults {
 	return &Faults{m: map[string]Fault{}}
 }
 
-// Set switches the fault of the named listener.
+// Set sets the fault of the named listener; a zero Fault ends it.
 func (f *Faults) Set(name string, v Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.m[name] = v
 }
 
-// Get returns the fault of the named listener.
+// Get returns the fault that applies to the named listener.
 func (f *Faults) Get(name string) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +57,8 @@
 	return f.m[name]
 }
 
-// ServeHTTP takes a POST of a Fault for the listener named in the query.
+// ServeHTTP sets the Fault in the body of the request for the listener named in the
+// query, or for all.
 func (f *Faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var v Fault
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
@@ -71,7 +72,8 @@
 	f.Set(n, v)
 }
 
-// Wrap makes the faults of the named listener happen to the handler.
+// Wrap applies Down, DelayMs and LoseAnswers of the named listener to the handler.
+// The other faults are up to the handler.
 func (f *Faults) Wrap(name string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		v := f.Get(name)
@@ -89,7 +91,7 @@
 	})
 }
 
-// discardWriter is a ResponseWriter whose answer is lost.
+// discardWriter is a ResponseWriter that discards the answer.
 type discardWriter struct {
 	h http.Header
 }
--- a/internal/standin/faultystore.go
+++ b/internal/standin/faultystore.go
@@ -7,46 +7,48 @@
 	"amberway/platform"
 )
 
-// Outcome is what becomes of one call to a Memory.
+// Outcome is the outcome of a call to a FaultyStore.
 type Outcome int
 
-// The fates of a call.
+// The outcomes of a call.
 const (
-	// Succeeds does what is asked and answers.
+	// Succeeds executes the call and answers.
 	Succeeds Outcome = iota
-	// NotSent does nothing and says so.
+	// NotSent does not execute the call and says so (platform.ErrNotSent).
 	NotSent
-	// RequestLost does nothing and loses the answer.
+	// RequestLost does not execute the call and gives no answer.
 	RequestLost
-	// AnswerLost does what is asked and loses the answer.
+	// AnswerLost executes the call and loses the answer.
 	AnswerLost
-	// Delayed loses the answer and does what is asked at the next Deliver.
+	// Delayed loses the answer and executes the call at the next DeliverDelayed.
 	Delayed
 )
 
-// FaultyStore is a platform.Store without a network. Decide is called before each
-// call and may itself make calls, which is how a pause between two steps of a
-// process is played.
+// FaultyStore is a platform.Store in memory whose calls fail on demand. Decide is
+// called before each call. It may itself make calls, which simulates a process that
+// is paused between two steps.
 type FaultyStore struct {
 	Store   *Store
 	Decide  func(write bool) Outcome
 	delayed []platform.WireTxn
 }
 
-// NewFaultyStore returns an empty store where every call is fine.
+// NewFaultyStore returns an empty store where every call succeeds.
 func NewFaultyStore() *FaultyStore {
 	return &FaultyStore{Store: NewStore(), Decide: func(bool) Outcome { return Succeeds }}
 }
 
-// DeliverDelayed does what late calls asked for.
-func (m *FaultyStore) DeliverDelayed() {
-	l := m.delayed
-	m.delayed = nil
+// DeliverDelayed executes the delayed calls.
+func (s *FaultyStore) DeliverDelayed() {
+	l := s.delayed
+	s.delayed = nil
 	for _, t := range l {
-		m.Store.Txn(t)
+		s.Store.Txn(t)
 	}
 }
 
+// readError returns the error of a read. A read changes nothing, so that it succeeds
+// where only the answer to a write would be lost.
 func readError(f Outcome) error {
 	switch f {
 	case Succeeds, AnswerLost, Delayed:
@@ -59,11 +61,11 @@
 }
 
 // Get is part of platform.Store.
-func (m *FaultyStore) Get(_ context.Context, key string) (platform.Entry, error) {
-	if err := readError(m.Decide(false)); err != nil {
+func (s *FaultyStore) Get(_ context.Context, key string) (platform.Entry, error) {
+	if err := readError(s.Decide(false)); err != nil {
 		return platform.Entry{}, err
 	}
-	l, _ := m.Store.Range(key, "")
+	l, _ := s.Store.Range(key, "")
 	if len(l) == 0 {
 		return platform.Entry{Key: key}, platform.ErrNotFound
 	}
@@ -71,8 +73,8 @@
 }
 
 // GetAfter is part of platform.Store.
-func (m *FaultyStore) GetAfter(ctx context.Context, key string, after platform.Revision) (platform.Entry, bool, error) {
-	e, err := m.Get(ctx, key)
+func (s *FaultyStore) GetAfter(ctx context.Context, key string, after platform.Revision) (platform.Entry, bool, error) {
+	e, err := s.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return e, false, nil
 	}
@@ -80,11 +82,11 @@
 }
 
 // List is part of platform.Store.
-func (m *FaultyStore) List(_ context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
-	if err := readError(m.Decide(false)); err != nil {
+func (s *FaultyStore) List(_ context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
+	if err := readError(s.Decide(false)); err != nil {
 		return nil, 0, err
 	}
-	l, rev := m.Store.Range(prefix, string(platform.PrefixEnd(prefix)))
+	l, rev := s.Store.Range(prefix, string(platform.PrefixEnd(prefix)))
 	var out []platform.Entry
 	for _, k := range l {
 		out = append(out, platform.Entry{Key: string(k.Key), Value: k.Value, Revision: platform.Revision(k.ModRevision)})
@@ -93,32 +95,32 @@
 }
 
 // Swap is part of platform.Store.
-func (m *FaultyStore) Swap(_ context.Context, key string, value []byte, base platform.Revision) (platform.Revision, error) {
-	return m.txn(key, base, platform.WireOp{Put: &platform.WirePut{Key: []byte(key), Value: value}})
+func (s *FaultyStore) Swap(_ context.Context, key string, value []byte, base platform.Revision) (platform.Revision, error) {
+	return s.txn(key, base, platform.WireOp{Put: &platform.WirePut{Key: []byte(key), Value: value}})
 }
 
 // Delete is part of platform.Store.
-func (m *FaultyStore) Delete(_ context.Context, key string, base platform.Revision) error {
-	_, err := m.txn(key, base, platform.WireOp{Delete: &platform.WireDelete{Key: []byte(key)}})
+func (s *FaultyStore) Delete(_ context.Context, key string, base platform.Revision) error {
+	_, err := s.txn(key, base, platform.WireOp{Delete: &platform.WireDelete{Key: []byte(key)}})
 	return err
 }
 
-func (m *FaultyStore) txn(key string, base platform.Revision, op platform.WireOp) (platform.Revision, error) {
+func (s *FaultyStore) txn(key string, base platform.Revision, op platform.WireOp) (platform.Revision, error) {
 	c := platform.WireCompare{Key: []byte(key), ModRevision: int64(base)}
 	t := platform.WireTxn{Compare: []platform.WireCompare{c}, Success: []platform.WireOp{op}}
-	switch m.Decide(true) {
+	switch s.Decide(true) {
 	case NotSent:
 		return 0, platform.ErrNotSent
 	case RequestLost:
 		return 0, platform.ErrUnknown
 	case Delayed:
-		m.delayed = append(m.delayed, t)
+		s.delayed = append(s.delayed, t)
 		return 0, platform.ErrUnknown
 	case AnswerLost:
-		m.Store.Txn(t)
+		s.Store.Txn(t)
 		return 0, platform.ErrUnknown
 	default:
-		ok, rev := m.Store.Txn(t)
+		ok, rev := s.Store.Txn(t)
 		if !ok {
 			return 0, platform.ErrConflict
 		}
@@ -127,17 +129,17 @@
 }
 
 // DeleteRange is part of platform.Store.
-func (m *FaultyStore) DeleteRange(_ context.Context, from, to string) error {
-	f := m.Decide(true)
+func (s *FaultyStore) DeleteRange(_ context.Context, from, to string) error {
+	f := s.Decide(true)
 	if f == NotSent {
 		return platform.ErrNotSent
 	}
 	if f == RequestLost {
 		return platform.ErrUnknown
 	}
-	l, _ := m.Store.Range(from, to)
+	l, _ := s.Store.Range(from, to)
 	for _, k := range l {
-		m.Store.Txn(platform.WireTxn{Success: []platform.WireOp{{Delete: &platform.WireDelete{Key: k.Key}}}})
+		s.Store.Txn(platform.WireTxn{Success: []platform.WireOp{{Delete: &platform.WireDelete{Key: k.Key}}}})
 	}
 	if f != Succeeds {
 		return platform.ErrUnknown
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// Watch is part of platform.Store. It only waits.
-func (m *FaultyStore) Watch(ctx context.Context, _ string, _ platform.Revision, _ func([]platform.Event)) error {
+// Watch is part of platform.Store. It reports no events.
+func (s *FaultyStore) Watch(ctx context.Context, _ string, _ platform.Revision, _ func([]platform.Event)) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
--- a/internal/standin/fleet/behaviour.go
+++ b/internal/standin/fleet/behaviour.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// behaviour is what a task does.
+// behaviour describes how a task behaves.
 type behaviour struct {
 	runTime               time.Duration
 	lasts, fails, crashes bool
-	// maxWarmUp is the longest that a lasting task takes to be at work, and failsEach how long it
-	// is there in the mean before it fails by itself; never, if zero.
+	// maxWarmUp is the longest time until a lasting task is ready, and meanTimeToFailure
+	// the mean time from then until it fails by itself; it never does if zero.
 	maxWarmUp, meanTimeToFailure time.Duration
 }
 
-// Words of a spec that name a time.
+// Prefixes of the words of a spec that give a time.
 const (
 	warmsPrefix     = "warms:"
 	failsEachPrefix = "fails-each:"
 )
 
-// parseBehaviour reads how a task behaves from its job's spec: a duration, "lasts", "fails"
-// after a duration, or "crashes" its worker soon after its start. A lasting task may take a
-// time to be at work ("warms:1s") and fail now and then ("fails-each:1m").
+// parseBehaviour parses the spec of a task's job, which consists of words: a duration is
+// the run time, "fails" makes the task fail after it, "lasts" makes it a lasting task, and
+// "crashes" makes it crash its worker soon after its start. A lasting task may take some
+// time to be ready ("warms:1s") and fail now and then ("fails-each:1m").
 func parseBehaviour(spec string) behaviour {
 	var b behaviour
 	for _, f := range strings.Fields(spec) {
@@ -40,8 +41,8 @@
 	return b
 }
 
-// parseTime reads a time, which is that of the work unless a word names it. Other words say
-// nothing.
+// parseTime parses a duration, which is the run time unless the word has a prefix. Other
+// words are ignored.
 func (b *behaviour) parseTime(word string) {
 	d := &b.runTime
 	if v, ok := strings.CutPrefix(word, warmsPrefix); ok {
@@ -54,5 +55,5 @@
 	}
 }
 
-// crashDelay is how long a worker lives on once a task has started that crashes it.
+// crashDelay is the time from the start of a task that crashes its worker to the crash.
 const crashDelay = 10 * time.Millisecond
--- a/internal/standin/fleet/checker.go
+++ b/internal/standin/fleet/checker.go
@@ -8,177 +8,177 @@
 	"time"
 )
 
-// Checker notes what workers did, and which promises that broke.
+// Checker records what workers did, and which guarantees that violated.
 type Checker struct {
 	mu         sync.Mutex
 	active     map[string]ActiveRun
 	done       map[string]bool
 	violations []string
 	startCount int
-	// lateStarts are the starts whose orders were carried out late.
+	// lateStarts are the starts whose orders were delayed.
 	lateStarts []ActiveRun
-	// started are the jobs of which a task began.
+	// started are the jobs of which a task has started.
 	started map[string]bool
-	// acknowledged are the tasks of which a good end was taken note of.
+	// acknowledged are the tasks whose success was acknowledged to the worker.
 	acknowledged map[string]bool
-	// firstStepTasks is how many tasks the first step of each job has; zero checks no
-	// order.
+	// firstStepTasks is how many tasks the first step of each job has; if zero, the order
+	// of steps is not checked.
 	firstStepTasks int
-	// crashes counts the workers that crashed under each task.
+	// crashes counts the workers that crashed while they ran each task.
 	crashes map[string]int
 	disruptionChecks
 }
 
-// ActiveRun is a run that goes on.
+// ActiveRun is a run that has started.
 type ActiveRun struct {
 	Task, Worker string
 	Number       int64
 	StartedAt    time.Time
-	// Late says that its order was carried out late.
+	// Late says that the order to start it was delayed.
 	Late bool
 }
 
-// NewChecker returns empty books.
+// NewChecker returns a checker that has recorded nothing.
 func NewChecker() *Checker {
 	return &Checker{active: map[string]ActiveRun{}, done: map[string]bool{}, started: map[string]bool{}, acknowledged: map[string]bool{}, crashes: map[string]int{}, disruptionChecks: newDisruptionChecks()}
 }
 
-func (b *Checker) recordStart(task string, number int64, worker string, late bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.startCount++
-	if o, ok := b.active[task]; ok {
-		b.violations = append(b.violations, fmt.Sprintf("%s run %d began on %s while it ran on %s", task, number, worker, o.Worker))
+func (c *Checker) recordStart(task string, number int64, worker string, late bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.startCount++
+	if o, ok := c.active[task]; ok {
+		c.violations = append(c.violations, fmt.Sprintf("%s run %d started on %s while the task was running on %s", task, number, worker, o.Worker))
 	}
-	if b.acknowledged[task] {
-		b.violations = append(b.violations, fmt.Sprintf("%s run %d began on %s after a good end of it was taken note of", task, number, worker))
+	if c.acknowledged[task] {
+		c.violations = append(c.violations, fmt.Sprintf("%s run %d started on %s after the success of the task was acknowledged", task, number, worker))
 	}
-	b.checkStepOrder(task)
+	c.checkStepOrder(task)
 	job, _, _ := strings.Cut(task, ".")
-	b.started[job] = true
-	g := ActiveRun{Task: task, Worker: worker, Number: number, StartedAt: time.Now(), Late: late}
+	c.started[job] = true
+	r := ActiveRun{Task: task, Worker: worker, Number: number, StartedAt: time.Now(), Late: late}
 	if late {
-		b.lateStarts = append(b.lateStarts, g)
+		c.lateStarts = append(c.lateStarts, r)
 	}
-	b.active[task] = g
+	c.active[task] = r
 }
 
-// checkStepOrder checks that a task of the second step begins after the first step.
-func (b *Checker) checkStepOrder(task string) {
+// checkStepOrder checks that a task of the second step starts after the first step is done.
+func (c *Checker) checkStepOrder(task string) {
 	p := strings.Split(task, ".")
-	if b.firstStepTasks == 0 || len(p) != 4 || p[2] != "1" {
+	if c.firstStepTasks == 0 || len(p) != 4 || p[2] != "1" {
 		return
 	}
-	for x := range b.firstStepTasks {
+	for x := range c.firstStepTasks {
 		before := fmt.Sprintf("%s.%s.0.%d", p[0], p[1], x)
-		if !b.done[before] {
-			b.violations = append(b.violations, fmt.Sprintf("%s began before %s was done", task, before))
+		if !c.done[before] {
+			c.violations = append(c.violations, fmt.Sprintf("%s started before %s was done", task, before))
 		}
 	}
 }
 
-// CheckStepOrder has each start of a second step checked: jobs have so many tasks in
-// their first step.
-func (b *Checker) CheckStepOrder(firstStep int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.firstStepTasks = firstStep
+// CheckStepOrder enables the check that a second step starts after the first, of jobs
+// with so many tasks in their first step.
+func (c *Checker) CheckStepOrder(firstStepTasks int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.firstStepTasks = firstStepTasks
 }
 
-// recordCrash notes the tasks that ran on a worker which crashed.
-func (b *Checker) recordCrash(tasks []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// recordCrash records the tasks that ran on a worker when it crashed.
+func (c *Checker) recordCrash(tasks []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, t := range tasks {
-		b.crashes[t]++
+		c.crashes[t]++
 	}
 }
 
-// CrashCount returns how many workers crashed under the task.
-func (b *Checker) CrashCount(task string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.crashes[task]
+// CrashCount returns how many workers crashed while they ran the task.
+func (c *Checker) CrashCount(task string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.crashes[task]
 }
 
-// recordAck takes note of an end that a worker may forget.
-func (b *Checker) recordAck(task, how string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if how == "done" {
-		b.acknowledged[task] = true
+// recordAck records that the end of a run was acknowledged, so that the worker forgets it.
+func (c *Checker) recordAck(task, outcome string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if outcome == "done" {
+		c.acknowledged[task] = true
 	}
 }
 
-// Started reports whether a task of the job has begun.
-func (b *Checker) Started(job string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.started[job]
+// Started reports whether a task of the job has started.
+func (c *Checker) Started(job string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.started[job]
 }
 
-func (b *Checker) recordEnd(task string, _ int64, how string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.active, task)
-	b.recordNotReady(task)
-	if how == "done" {
-		b.done[task] = true
+func (c *Checker) recordEnd(task string, _ int64, outcome string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.active, task)
+	c.recordNotReady(task)
+	if outcome == "done" {
+		c.done[task] = true
 	}
 }
 
-// Violations returns the promises that were broken.
-func (b *Checker) Violations() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string(nil), b.violations...)
+// Violations describes the guarantees that were violated.
+func (c *Checker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.violations...)
 }
 
-// StartCount returns how many runs began.
-func (b *Checker) StartCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.startCount
+// StartCount returns how many runs have started.
+func (c *Checker) StartCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.startCount
 }
 
-// Done reports whether the task has ended well.
-func (b *Checker) Done(task string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.done[task]
+// Done reports whether the task has succeeded.
+func (c *Checker) Done(task string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.done[task]
 }
 
-// IsRunning reports whether the task runs.
-func (b *Checker) IsRunning(task string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, ok := b.active[task]
+// IsRunning reports whether the task is running.
+func (c *Checker) IsRunning(task string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, ok := c.active[task]
 	return ok
 }
 
-// RunsOfJob returns the runs of the job's tasks.
-func (b *Checker) RunsOfJob(job string) []ActiveRun {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RunsOfJob returns the runs of the job's tasks that have not ended.
+func (c *Checker) RunsOfJob(job string) []ActiveRun {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var l []ActiveRun
-	for t, g := range b.active {
+	for t, r := range c.active {
 		if strings.HasPrefix(t, job+".") {
-			l = append(l, g)
+			l = append(l, r)
 		}
 	}
 	return l
 }
 
-// LateStarts returns the starts whose orders were carried out late.
-func (b *Checker) LateStarts() []ActiveRun {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Clone(b.lateStarts)
+// LateStarts returns the starts whose orders were delayed.
+func (c *Checker) LateStarts() []ActiveRun {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.lateStarts)
 }
 
-// RunningCount returns how many tasks run.
-func (b *Checker) RunningCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.active)
+// RunningCount returns how many tasks are running.
+func (c *Checker) RunningCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.active)
 }
--- a/internal/standin/fleet/crash.go
+++ b/internal/standin/fleet/crash.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Crash ends the worker of a machine that runs something; it boots again after
-// the time given.
+// Crash crashes a worker that runs a task; its machine boots again after downFor. It
+// returns the worker's id, or "" if no worker runs a task.
 func (f *Fleet) Crash(downFor time.Duration) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -17,7 +17,7 @@
 	return ""
 }
 
-// busyMachine returns a machine whose worker runs something, or nil.
+// busyMachine returns a machine whose worker runs a task, or nil.
 func (f *Fleet) busyMachine() *Machine {
 	for _, m := range f.machines {
 		if m.worker != nil && !m.leaving && m.State == "up" && m.worker.busy() {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// crash ends the machine's worker, and returns its id.
+// crash crashes the machine's worker, and returns the worker's id.
 func (f *Fleet) crash(m *Machine, downFor time.Duration) string {
 	id := m.ID
 	f.Checker.recordCrash(m.worker.runningTasks())
@@ -37,10 +37,10 @@
 	return id
 }
 
-// crashDowntime is how long a machine is down whose worker a task has crashed.
+// crashDowntime is how long a machine is down after a task has crashed its worker.
 const crashDowntime = 2 * time.Second
 
-// crashWorker ends a life by what runs there, unless it has ended since.
+// crashWorker crashes a worker because of one of its tasks, unless it has ended since.
 func (f *Fleet) crashWorker(m *Machine, w *worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +49,6 @@
 	}
 }
 
-// runningTasks returns the tasks that run on a worker which is about to crash.
 func (w *worker) runningTasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/fleet/delay.go
+++ b/internal/standin/fleet/delay.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// lateHeader marks an order that is carried out late.
+// lateHeader marks an order that was delayed.
 const lateHeader = "Late"
 
-// DelayRunOrders has every second worker, from the first or the second on, leave orders
-// to start and to stop without an answer for a time, and carry each out late by
-// what late returns, which has to bear being called from several at once. They
-// answer looks. It returns how many workers those are.
-func (f *Fleet) DelayRunOrders(from int, d time.Duration, late func() time.Duration) int {
+// DelayRunOrders makes every second worker, from the first or the second on, leave orders
+// to start and to stop runs without an answer for the time d, and execute each after the
+// delay that delay returns, which must be safe for concurrent use. These workers still
+// answer polls. It returns how many they are.
+func (f *Fleet) DelayRunOrders(from int, d time.Duration, delay func() time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -25,20 +25,20 @@
 			continue
 		}
 		n++
-		w.setOrderDelay(late)
+		w.setOrderDelay(delay)
 		time.AfterFunc(d, func() { w.setOrderDelay(nil) })
 	}
 	return n
 }
 
-func (w *worker) setOrderDelay(late func() time.Duration) {
+func (w *worker) setOrderDelay(delay func() time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.orderDelay = late
+	w.orderDelay = delay
 }
 
-// intercept answers only calls that mean this life, and none while it is silent.
-// Orders may be carried out late.
+// intercept answers only calls that are meant for this incarnation, and none while the
+// worker is silent. Orders may be delayed.
 func (w *worker) intercept(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
@@ -59,8 +59,8 @@
 	})
 }
 
-// dropCall ends a call without an answer: when the caller gives up or the worker ends,
-// if the worker is silent, else at once.
+// dropCall ends a call without an answer: if the worker is silent, when the caller gives
+// up or the worker ends, otherwise at once.
 func (w *worker) dropCall(r *http.Request) {
 	w.mu.Lock()
 	silent := w.silent
@@ -74,7 +74,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drawOrderDelay returns by how much an order that comes now is late, if it is.
+// drawOrderDelay returns how long an order that arrives now is delayed, and whether it is.
 func (w *worker) drawOrderDelay(r *http.Request) (time.Duration, bool) {
 	if r.URL.Path != "/run-start" && r.URL.Path != "/run-stop" {
 		return 0, false
@@ -87,9 +87,9 @@
 	return w.orderDelay(), true
 }
 
-// executeDelayed has h serve the order after a time, and leaves the caller without
-// an answer.
-func (w *worker) executeDelayed(h http.Handler, r *http.Request, after time.Duration) {
+// executeDelayed makes h serve the order after the delay, and leaves the caller without an
+// answer.
+func (w *worker) executeDelayed(h http.Handler, r *http.Request, delay time.Duration) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -97,7 +97,7 @@
 	q := r.Clone(context.WithoutCancel(r.Context()))
 	q.Body = io.NopCloser(bytes.NewReader(b))
 	q.Header.Set(lateHeader, "1")
-	time.AfterFunc(after, func() { h.ServeHTTP(&discardWriter{}, q) })
+	time.AfterFunc(delay, func() { h.ServeHTTP(&discardWriter{}, q) })
 	select {
 	case <-r.Context().Done():
 	case <-w.listener.closed:
--- a/internal/standin/fleet/disruption.go
+++ b/internal/standin/fleet/disruption.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// unavailableAfter is how long a lasting task may be away before it counts as that, unless an
-// order has ended it.
+// unavailableAfter is how long a lasting task may fail to be ready before it counts as
+// unavailable. A task that was stopped by an order counts at once.
 const unavailableAfter = 4500 * time.Millisecond
 
-// disruptionChecks are the books of lasting jobs of which only some tasks may be away at once.
+// disruptionChecks checks the disruption budgets of lasting jobs.
 type disruptionChecks struct {
-	// maxUnavailable are the jobs, with how many of their tasks may be away.
+	// maxUnavailable holds the checked jobs, with how many of their tasks may be unavailable.
 	maxUnavailable map[string]int
-	// unavailable are their tasks that are not at work.
+	// unavailable holds their tasks that are not ready.
 	unavailable map[string]*unavailableTask
-	// disruptions counts the orders that have ended one that was at work.
+	// disruptions counts the orders that have stopped a ready one.
 	disruptions int
 }
 
-// unavailableTask is a lasting task that is not at work.
+// unavailableTask is a lasting task that is not ready.
 type unavailableTask struct {
 	since time.Time
-	// byOrder says that an order ended it when it was last at work.
+	// byOrder says that it was stopped by an order when it was last ready.
 	byOrder bool
 }
 
-// stopOrder is an order that ends a run.
+// stopOrder is an order that stops a run.
 type stopOrder struct {
 	task, worker string
 	run          int64
-	// exempt says that it may end the run whatever else is away: its worker leaves, or it
-	// was held up.
+	// exempt says that it may stop the run whatever else is unavailable: the worker is
+	// leaving, or the order was delayed.
 	exempt bool
 }
 
@@ -41,63 +41,64 @@
 	return disruptionChecks{maxUnavailable: map[string]int{}, unavailable: map[string]*unavailableTask{}}
 }
 
-// CheckDisruptions has the tasks of a lasting job watched, of whose only step so many may be away.
-func (b *Checker) CheckDisruptions(job string, count, mayMiss int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.maxUnavailable[job] = mayMiss
+// CheckDisruptions enables the check of the disruption budget of a lasting job. Its only
+// step has count tasks, of which maxUnavailable may be unavailable at once.
+func (c *Checker) CheckDisruptions(job string, count, maxUnavailable int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.maxUnavailable[job] = maxUnavailable
 	for x := range count {
-		b.unavailable[fmt.Sprintf("%s.0.0.%d", job, x)] = &unavailableTask{since: time.Now()}
+		c.unavailable[fmt.Sprintf("%s.0.0.%d", job, x)] = &unavailableTask{since: time.Now()}
 	}
 }
 
-// Disruptions returns how many orders have ended a watched task that was at work.
-func (b *Checker) Disruptions() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.disruptions
+// Disruptions returns how many orders have stopped a ready task of a checked job.
+func (c *Checker) Disruptions() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.disruptions
 }
 
-// recordReady notes that a run of a lasting task is at work.
-func (b *Checker) recordReady(task string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.unavailable, task)
+// recordReady records that a run of a lasting task is ready.
+func (c *Checker) recordReady(task string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.unavailable, task)
 }
 
-// recordNotReady notes that a run has ended. The caller holds the lock.
-func (b *Checker) recordNotReady(task string) {
+// recordNotReady records that a run has ended. The caller holds the lock.
+func (c *Checker) recordNotReady(task string) {
 	job, _, _ := strings.Cut(task, ".")
-	if _, watched := b.maxUnavailable[job]; watched && b.unavailable[task] == nil {
-		b.unavailable[task] = &unavailableTask{since: time.Now()}
+	if _, checked := c.maxUnavailable[job]; checked && c.unavailable[task] == nil {
+		c.unavailable[task] = &unavailableTask{since: time.Now()}
 	}
 }
 
-// checkDisruption checks that not as many others of a task's step are away as it may miss, as
-// an order ends it.
-func (b *Checker) checkDisruption(o stopOrder) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// checkDisruption records that an order stops a run, and checks that the task's step has
+// fewer other unavailable tasks than it may have.
+func (c *Checker) checkDisruption(o stopOrder) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	job, _, _ := strings.Cut(o.task, ".")
-	most, watched := b.maxUnavailable[job]
-	if !watched || b.unavailable[o.task] != nil {
+	limit, checked := c.maxUnavailable[job]
+	if !checked || c.unavailable[o.task] != nil {
 		return
 	}
-	b.disruptions++
-	if l := b.describeUnavailable(job); len(l) >= most && !o.exempt {
-		b.violations = append(b.violations, fmt.Sprintf("%s run %d on %s is ended at work by an order while %d others of its step are away, which may miss %d: %s",
-			o.task, o.run, o.worker, len(l), most, strings.Join(l, ", ")))
+	c.disruptions++
+	if l := c.describeUnavailable(job); len(l) >= limit && !o.exempt {
+		c.violations = append(c.violations, fmt.Sprintf("%s run %d on %s was ready and was stopped by an order while %d others of its step were unavailable, and %d may be: %s",
+			o.task, o.run, o.worker, len(l), limit, strings.Join(l, ", ")))
 	}
-	b.unavailable[o.task] = &unavailableTask{since: time.Now(), byOrder: true}
+	c.unavailable[o.task] = &unavailableTask{since: time.Now(), byOrder: true}
 }
 
-// describeUnavailable tells of the job's tasks that count as away.
-func (b *Checker) describeUnavailable(job string) []string {
+// describeUnavailable describes the job's tasks that count as unavailable.
+func (c *Checker) describeUnavailable(job string) []string {
 	var l []string
-	for t, a := range b.unavailable {
+	for t, a := range c.unavailable {
 		d := time.Since(a.since)
 		if strings.HasPrefix(t, job+".") && (a.byOrder || d >= unavailableAfter) {
-			l = append(l, fmt.Sprintf("%s for %.2f s, by an order: %t", t, d.Seconds(), a.byOrder))
+			l = append(l, fmt.Sprintf("%s for %.2f s, stopped by an order: %t", t, d.Seconds(), a.byOrder))
 		}
 	}
 	slices.Sort(l)
--- a/internal/standin/fleet/disruption_test.go
+++ b/internal/standin/fleet/disruption_test.go
@@ -8,34 +8,34 @@
 )
 
 func TestCheckerReportsStopsBeyondTheDisruptionBudget(t *testing.T) {
-	b := NewChecker()
-	b.CheckDisruptions("j", 3, 1)
+	c := NewChecker()
+	c.CheckDisruptions("j", 3, 1)
 	for _, task := range []string{"j.0.0.0", "j.0.0.1", "j.0.0.2"} {
-		b.recordReady(task)
+		c.recordReady(task)
 	}
-	b.checkDisruption(stopOrder{task: "j.0.0.0"})
-	require.Empty(t, b.Violations())
-	b.checkDisruption(stopOrder{task: "j.0.0.0"})
-	require.Equal(t, 1, b.Disruptions(), "it is not at work")
-	b.checkDisruption(stopOrder{task: "j.0.0.1", exempt: true})
-	require.Empty(t, b.Violations(), "its worker leaves, or the order was held up")
-	b.checkDisruption(stopOrder{task: "j.0.0.2"})
-	require.Len(t, b.Violations(), 1)
-	require.Contains(t, b.Violations()[0], "while 2 others")
+	c.checkDisruption(stopOrder{task: "j.0.0.0"})
+	require.Empty(t, c.Violations())
+	c.checkDisruption(stopOrder{task: "j.0.0.0"})
+	require.Equal(t, 1, c.Disruptions(), "it is not ready")
+	c.checkDisruption(stopOrder{task: "j.0.0.1", exempt: true})
+	require.Empty(t, c.Violations(), "its worker is leaving, or the order was delayed")
+	c.checkDisruption(stopOrder{task: "j.0.0.2"})
+	require.Len(t, c.Violations(), 1)
+	require.Contains(t, c.Violations()[0], "while 2 others")
 }
 
 func TestFailedTaskCountsAsUnavailableAfterAWhile(t *testing.T) {
-	b := NewChecker()
-	b.CheckDisruptions("j", 2, 1)
-	b.recordReady("j.0.0.0")
-	b.recordReady("j.0.0.1")
-	b.recordEnd("j.0.0.0", 1, "failed")
-	b.checkDisruption(stopOrder{task: "j.0.0.1"})
-	require.Empty(t, b.Violations(), "it was at work a moment ago")
-	b.recordReady("j.0.0.1")
-	b.unavailable["j.0.0.0"].since = time.Now().Add(-unavailableAfter)
-	b.checkDisruption(stopOrder{task: "j.0.0.1"})
-	require.Len(t, b.Violations(), 1)
+	c := NewChecker()
+	c.CheckDisruptions("j", 2, 1)
+	c.recordReady("j.0.0.0")
+	c.recordReady("j.0.0.1")
+	c.recordEnd("j.0.0.0", 1, "failed")
+	c.checkDisruption(stopOrder{task: "j.0.0.1"})
+	require.Empty(t, c.Violations(), "the other task was ready a moment ago")
+	c.recordReady("j.0.0.1")
+	c.unavailable["j.0.0.0"].since = time.Now().Add(-unavailableAfter)
+	c.checkDisruption(stopOrder{task: "j.0.0.1"})
+	require.Len(t, c.Violations(), 1)
 }
 
 func TestLastingRunIsReadyAfterItsWarmUpAndStopsWithADelay(t *testing.T) {
--- a/internal/standin/fleet/doc.go
+++ b/internal/standin/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet holds stand-ins of the platform that runs jobs: its store of
-// records and leases, workers under leases, and machines. They speak the
-// published interfaces over HTTP on loopback, with faults that are switched
-// while they run, and keep the books that show whether a promise was broken.
+// Package fleet provides stand-ins of the platform that runs jobs: its store of
+// records and leases, workers under leases, and machines. They serve the
+// published APIs over HTTP on loopback, with faults that can be injected while
+// they run, and a Checker records which guarantees were violated.
 package fleet
--- a/internal/standin/fleet/listener.go
+++ b/internal/standin/fleet/listener.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// faultyListener is a listener that can be shut so that connections to it hang, and whose
-// open connections can fall silent.
+// faultyListener is a listener that can make new connections hang, and whose open
+// connections can be silenced.
 type faultyListener struct {
 	*net.TCPListener
 	mu                  sync.Mutex
@@ -20,7 +20,7 @@
 	backlogConns        []net.Conn
 }
 
-// anyAddress has the kernel choose a port.
+// anyAddress lets the kernel choose a port.
 const anyAddress = "127.0.0.1:0"
 
 func newFaultyListener(address string) (*faultyListener, error) {
@@ -30,48 +30,48 @@
 	}
 	t, ok := l.(*net.TCPListener)
 	if !ok {
-		return nil, errors.New("no TCP listener")
+		return nil, errors.New("not a TCP listener")
 	}
 	return &faultyListener{TCPListener: t, hung: make(chan struct{}), closed: make(chan struct{}), conns: map[*faultyConn]bool{}}, nil
 }
 
-// Accept returns the next connection, and waits for Close once it is shut.
-func (g *faultyListener) Accept() (net.Conn, error) {
+// Accept returns the next connection. Once new connections hang, it waits for Close.
+func (l *faultyListener) Accept() (net.Conn, error) {
 	for {
 		select {
-		case <-g.hung:
-			<-g.closed
+		case <-l.hung:
+			<-l.closed
 			return nil, net.ErrClosed
 		default:
 		}
-		c, err := g.TCPListener.Accept()
+		c, err := l.TCPListener.Accept()
 		switch {
 		case err == nil:
-			return g.track(c), nil
+			return l.track(c), nil
 		case !isTimeout(err):
 			return nil, err
 		}
 	}
 }
 
-func (g *faultyListener) track(c net.Conn) net.Conn {
-	s := &faultyConn{Conn: c, listener: g, closed: make(chan struct{})}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.conns[s] = true
+func (l *faultyListener) track(c net.Conn) net.Conn {
+	s := &faultyConn{Conn: c, listener: l, closed: make(chan struct{})}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conns[s] = true
 	return s
 }
 
-func (g *faultyListener) silence(oneWay bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.conns {
+func (l *faultyListener) silence(oneWay bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
 		c.loseAnswers.Store(true)
 		c.loseRequests.Store(!oneWay || c.loseRequests.Load())
 	}
 }
 
-// faultyConn is a connection that can fall silent for good.
+// faultyConn is a connection that can be silenced for good.
 type faultyConn struct {
 	net.Conn
 	listener                  *faultyListener
@@ -80,7 +80,7 @@
 	closed                    chan struct{}
 }
 
-// Read reads what the other side sends, and nothing more once that is lost.
+// Read reads what the other side sends, and waits for Close once that is lost.
 func (c *faultyConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if !c.loseRequests.Load() || isTimeout(err) {
@@ -90,7 +90,7 @@
 	return 0, net.ErrClosed
 }
 
-// Write sends, unless that is lost.
+// Write sends the bytes, or discards them once answers are lost.
 func (c *faultyConn) Write(b []byte) (int, error) {
 	if c.loseAnswers.Load() {
 		return len(b), nil
@@ -114,36 +114,36 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// Close ends the listener.
-func (g *faultyListener) Close() error {
-	g.closeOnce.Do(func() {
-		close(g.closed)
-		for _, c := range g.backlogConns {
+// Close closes the listener.
+func (l *faultyListener) Close() error {
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		for _, c := range l.backlogConns {
 			_ = c.Close()
 		}
 	})
-	return g.TCPListener.Close()
+	return l.TCPListener.Close()
 }
 
-// backlogDialTimeout is how long a connection may take on loopback before the queue of the
-// listener counts as full.
+// backlogDialTimeout is how long a dial on loopback may take before the accept queue of
+// the listener counts as full.
 const backlogDialTimeout = 50 * time.Millisecond
 
-// hang has new connections hang: nobody accepts any more, and the queue of the
-// listener is as short as it can be, and full.
-func (g *faultyListener) hang() {
-	g.hangOnce.Do(func() {
-		close(g.hung)
-		_ = g.SetDeadline(time.Now())
-		if r, err := g.SyscallConn(); err == nil {
+// hang makes new connections hang: none are accepted any more, and the accept queue of
+// the listener is made as short as it can be, and filled.
+func (l *faultyListener) hang() {
+	l.hangOnce.Do(func() {
+		close(l.hung)
+		_ = l.SetDeadline(time.Now())
+		if r, err := l.SyscallConn(); err == nil {
 			_ = r.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) })
 		}
 		for range 8 {
-			c, err := net.DialTimeout("tcp", g.Addr().String(), backlogDialTimeout)
+			c, err := net.DialTimeout("tcp", l.Addr().String(), backlogDialTimeout)
 			if err != nil {
 				return
 			}
-			g.backlogConns = append(g.backlogConns, c)
+			l.backlogConns = append(l.backlogConns, c)
 		}
 	})
 }
--- a/internal/standin/fleet/machineorders.go
+++ b/internal/standin/fleet/machineorders.go
@@ -7,41 +7,42 @@
 	"time"
 )
 
-// Answers to an order that is not carried out.
+// Reasons in the answer to a rejected order.
 const (
 	reasonFenced = "fence"
 	reasonBusy   = "busy"
 )
 
-// machineOrders are the orders to machines.
+// machineOrders holds the delay and the counts of orders to machines.
 type machineOrders struct {
-	// orderDelay returns how late an order is carried out, or zero where it is at once.
+	// orderDelay returns how long an order is delayed, or zero; nil delays none.
 	orderDelay func() time.Duration
-	// ordersReceived counts them, postponed those that were carried out late.
+	// ordersReceived counts all orders, ordersDelayed those that were delayed.
 	ordersReceived, ordersDelayed int
 }
 
 // machineOrder is one order to a machine.
 type machineOrder struct {
 	fence int64
-	// number is its place among all that arrived.
+	// number counts the orders in the sequence of their arrival.
 	number int
-	// isDone reports whether nothing is left to do, do carries it out on a halted machine.
+	// isDone reports whether nothing is left to do; apply executes it once the worker has stopped.
 	isDone func(*Machine) bool
 	apply  func(*Machine)
-	// delayed says that it is carried out late.
+	// delayed says that it was delayed.
 	delayed bool
 }
 
-// DelayMachineOrders leaves orders to machines without an answer for which late returns a
-// time, and carries them out after it. It is not called twice at once.
-func (f *Fleet) DelayMachineOrders(late func() time.Duration) {
+// DelayMachineOrders makes orders to machines for which delay returns a time get no
+// answer, and be executed after that time. Calls to delay do not overlap; nil ends the
+// delays.
+func (f *Fleet) DelayMachineOrders(delay func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orderDelay = late
+	f.orderDelay = delay
 }
 
-// DelayedMachineOrders returns how many orders have been carried out late, or refused then.
+// DelayedMachineOrders returns how many delayed orders have been executed or rejected.
 func (f *Fleet) DelayedMachineOrders() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +74,7 @@
 	})
 }
 
-// serveOrder carries an order out, at once or late and without an answer.
+// serveOrder executes an order, either at once or after a delay and without an answer.
 func (f *Fleet) serveOrder(w http.ResponseWriter, r *http.Request, machine string, o machineOrder) {
 	fence, err := strconv.ParseInt(r.Header.Get("Amberway-Fence-Token"), 10, 64)
 	if err != nil {
@@ -116,8 +117,9 @@
 	f.execute(m, o)
 }
 
-// execute carries an order out unless its fence is lower than one seen, and returns why
-// not. An order that undoes a newer one breaks a promise.
+// execute executes an order unless its fence is lower than one seen before or the machine
+// is busy, and returns the reason of a rejection. An order that undoes a newer one is a
+// violation.
 func (f *Fleet) execute(m *Machine, o machineOrder) string {
 	if o.fence < m.fence {
 		return reasonFenced
@@ -152,9 +154,9 @@
 	time.AfterFunc(f.Downtime, func() { f.endDowntime(m, wave) })
 }
 
-// recordUndoneOrder notes that an order was carried out after a newer one to its machine.
-func (b *Checker) recordUndoneOrder(machine string, fence int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.violations = append(b.violations, fmt.Sprintf("an order of fence %d to %s undid a newer one", fence, machine))
+// recordUndoneOrder records that an order was executed after a newer one to its machine.
+func (c *Checker) recordUndoneOrder(machine string, fence int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf("an order with fence %d to %s undid a newer one", fence, machine))
 }
--- a/internal/standin/fleet/machineorders_test.go
+++ b/internal/standin/fleet/machineorders_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// moveWith asks for a move under the fence, and returns the status or zero.
+// moveWith requests a move with the fence, and returns the status, or zero without an
+// answer.
 func moveWith(t *testing.T, f *Fleet, pool string, fence int) int {
 	t.Helper()
 	q, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+f.MachinesAddress()+"/machine-move",
@@ -28,9 +29,9 @@
 
 func TestDelayedMachineOrderIsFencedOrAViolation(t *testing.T) {
 	for name, c := range map[string]struct {
-		fence  int
-		broken int
-		pool   string
+		fence      int
+		violations int
+		pool       string
 	}{"lower": {1, 0, "green"}, "equal": {2, 1, "blue"}} {
 		t.Run(name, func(t *testing.T) {
 			f := New("spare", time.Millisecond)
@@ -42,7 +43,7 @@
 			require.Equal(t, http.StatusOK, moveWith(t, f, "green", 2))
 			require.Eventually(t, func() bool { return f.DelayedMachineOrders() == 1 }, time.Second, time.Millisecond)
 			require.Equal(t, []string{"m-000"}, f.Names(c.pool))
-			require.Len(t, f.Checker.Violations(), c.broken)
+			require.Len(t, f.Checker.Violations(), c.violations)
 		})
 	}
 }
--- a/internal/standin/fleet/machines.go
+++ b/internal/standin/fleet/machines.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Capacity is what a machine has.
+// Capacity is an amount of resources, such as those of a machine.
 type Capacity struct {
 	CPU   int64 `json:"cpu"`
 	MemMB int64 `json:"mem_mb"`
@@ -27,31 +27,31 @@
 	ID       string   `json:"id"`
 	worker   *worker
 	wave     int64
-	// leaving says that it is being taken away for good.
+	// leaving says that it is being removed for good.
 	leaving bool
-	// fence is the highest of its orders, newest the number of the last one carried out.
+	// fence is the highest fence of its orders, lastOrder the number of the newest executed one.
 	fence     int64
 	lastOrder int
 }
 
-// Fleet is the store, machines with workers, and the interface to machines.
+// Fleet is the store, the machines with their workers, and the machines' API.
 type Fleet struct {
 	Store   *Store
 	Checker *Checker
-	// Spare is the pool whose machines are switched off.
+	// Spare is the pool of the machines that are switched off.
 	Spare string
-	// Downtime is how long a move or upkeep takes.
+	// Downtime is how long a move or maintenance takes.
 	Downtime time.Duration
 	mu       sync.Mutex
 	machines []*Machine
-	// removed are the lives of machines that were taken away for good, made the
-	// number of machines that there ever were.
-	removed      []*worker
+	// removed are the workers of machines that were removed for good.
+	removed []*worker
+	// nextMachine numbers the next machine, lastWorkerID the last incarnation of a worker.
 	nextMachine  int
 	lastWorkerID int
 	kv, api      *httptest.Server
 	downByWave   map[int64]int
-	// MostDown is the most machines of each wave that were down at once.
+	// maxDownByWave is the most machines of each wave that were down at once.
 	maxDownByWave map[int64]int
 	moves         int
 	machineOrders
@@ -69,7 +69,7 @@
 	return f
 }
 
-// Close ends everything.
+// Close ends the workers, the store and the machines' API.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +91,7 @@
 // StoreAddress returns where the store listens.
 func (f *Fleet) StoreAddress() string { return strings.TrimPrefix(f.kv.URL, "http://") }
 
-// MachinesAddress returns where the interface to machines listens.
+// MachinesAddress returns where the machines' API listens.
 func (f *Fleet) MachinesAddress() string { return strings.TrimPrefix(f.api.URL, "http://") }
 
 // Add adds machines to a pool.
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// boot starts the machine's worker, unless its pool is switched off.
+// boot starts the machine's worker, unless the machine is switched off or being removed.
 func (f *Fleet) boot(m *Machine) error {
 	m.State, m.ID, m.worker = "up", "", nil
 	if m.Pool == f.Spare || m.leaving {
@@ -127,7 +127,7 @@
 	return f.Store.Put("servers/"+m.ID, m.worker.record(false))
 }
 
-// startWorker starts a worker under the machine's id, without a record.
+// startWorker starts a worker under the machine's id, without writing a record.
 func (f *Fleet) startWorker(m *Machine, address string, off time.Duration) error {
 	w, err := newWorker(m.ID, address, off, m, f.Checker)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// stopWorker ends the machine's worker.
+// stopWorker ends the machine's worker, and removes its record.
 func (f *Fleet) stopWorker(m *Machine) {
 	if m.worker != nil {
 		m.worker.end()
@@ -153,8 +153,8 @@
 	return len(w.runs) > 0
 }
 
-// Silence has the worker of a busy machine answer nothing for a time while it
-// runs on.
+// Silence makes a worker that runs a task answer nothing for a time while it runs on.
+// It returns the worker's id, or "" if no worker runs a task.
 func (f *Fleet) Silence(d time.Duration) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,14 +174,14 @@
 	w.mu.Unlock()
 }
 
-func (f *Fleet) reboot(m *Machine, old string) {
+func (f *Fleet) reboot(m *Machine, oldID string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Store.Remove("servers/" + old)
+	f.Store.Remove("servers/" + oldID)
 	_ = f.boot(m)
 }
 
-// Names returns the names of the machines of a pool, or of all.
+// Names returns the names of the machines of a pool, or of all pools if pool is empty.
 func (f *Fleet) Names(pool string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +194,7 @@
 	return l
 }
 
-// Moves returns how many moves there were.
+// Moves returns how many orders to move a machine were executed.
 func (f *Fleet) Moves() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet/operator.go
+++ b/internal/standin/fleet/operator.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// JobsHost is the host of every queue, and QueuePrefix begins its path.
+// JobsHost is the HTTP host of every queue, and QueuePrefix begins its path.
 const (
 	JobsHost    = "jobs.example"
 	QueuePrefix = "/queues/"
@@ -21,7 +21,7 @@
 type Team struct {
 	Name string
 	Keys []string
-	// Weight is its share; Cap bounds what it may have running.
+	// Weight determines its share of the capacity; Cap bounds what it may have running.
 	Weight int
 	Cap    Capacity
 }
@@ -31,58 +31,59 @@
 	Version int64
 	Pools   []string
 	Queues  []Queue
-	// Teams are left out where they are nil, and callers need no keys.
+	// Teams is left out of the document if nil; callers then need no keys.
 	Teams []Team
 }
 
 // Document returns the configuration as the operator writes it, with the spare pool.
 func (c Config) Document(spare string) any {
-	type row = map[string]any
-	services := []row{{"name": spare, "headroom": true, "rejects_overload": true}}
+	type object = map[string]any
+	services := []object{{"name": spare, "headroom": true, "rejects_overload": true}}
 	for _, p := range c.Pools {
-		services = append(services, row{"name": p, "rejects_overload": true})
+		services = append(services, object{"name": p, "rejects_overload": true})
 	}
-	routes := []row{}
+	routes := []object{}
 	for _, q := range c.Queues {
-		routes = append(routes, row{
+		routes = append(routes, object{
 			"name": "r-" + q.Name, "host": JobsHost, "prefix": QueuePrefix + q.Name + "/", "service": q.Pool,
 			"timeout_ms": 3000, "goal_ms": 1000, "stretch": 2, "retries": 3,
 		})
 	}
-	all := row{
+	doc := object{
 		"version": c.Version, "routes": routes, "services": services,
-		"limits": row{"max_header_bytes": 16384, "max_body_bytes": 65536},
+		"limits": object{"max_header_bytes": 16384, "max_body_bytes": 65536},
 	}
 	if c.Teams == nil {
-		return all
+		return doc
 	}
-	teams := []row{}
+	teams := []object{}
 	for _, t := range c.Teams {
-		teams = append(teams, row{"name": t.Name, "api_keys": t.Keys, "weight": t.Weight, "cap": t.Cap})
+		teams = append(teams, object{"name": t.Name, "api_keys": t.Keys, "weight": t.Weight, "cap": t.Cap})
 	}
-	all["tenants"] = teams
-	return all
+	doc["tenants"] = teams
+	return doc
 }
 
-// Configure puts a configuration in force.
+// Configure writes a configuration as the operator does.
 func (f *Fleet) Configure(c Config) error {
 	return f.Store.Put("op/config", c.Document(f.Spare))
 }
 
-// RequestWave asks for the upkeep of the machines.
-func (f *Fleet) RequestWave(number int64, machines []string, within time.Duration, most int) error {
+// RequestWave requests maintenance of the machines as the operator does, with at most
+// maxDown of them down at once.
+func (f *Fleet) RequestWave(number int64, machines []string, timeLimit time.Duration, maxDown int) error {
 	return f.Store.Put(fmt.Sprint("op/wave/", number), map[string]any{
-		"wave": number, "machines": machines, "within_s": within.Seconds(), "cap": most,
+		"wave": number, "machines": machines, "within_s": timeLimit.Seconds(), "cap": maxDown,
 	})
 }
 
-// WaveState returns what the system says of a wave.
+// WaveState returns the state of a wave that amberway has written to the store.
 func (f *Fleet) WaveState(number int64) string {
 	b, _ := f.Store.Value(fmt.Sprint("status/wave/", number))
 	return string(b)
 }
 
-// Step is a step of a job as callers write it.
+// Step is a step of a job as callers submit it.
 type Step struct {
 	Count          int   `json:"count"`
 	CPU            int   `json:"cpu"`
@@ -94,8 +95,8 @@
 	AntiAffinity   int   `json:"anti_affinity,omitempty"`
 }
 
-// Job is a job as callers write it. What a task does is read from the spec: a
-// time, "lasts" or "fails".
+// Job is a job as callers submit it. The spec says how its tasks behave, see
+// parseBehaviour.
 type Job struct {
 	Spec  string `json:"spec"`
 	Steps []Step `json:"steps"`
--- a/internal/standin/fleet/removal.go
+++ b/internal/standin/fleet/removal.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Removal says how a machine is taken away for good.
+// Removal describes how a machine is removed for good.
 type Removal struct {
-	// Drain is how long its worker says that it is draining before it goes;
-	// zero says nothing.
+	// Drain is how long the worker's record says that it is draining before the
+	// machine goes; if zero, it never says so.
 	Drain time.Duration
-	// Hangs leaves connections to its address without an answer, also open
-	// ones, as those to a machine without power; else they are refused.
+	// Hangs makes connections to its address hang, including open ones, as if the
+	// machine had lost power; otherwise they are refused or closed.
 	Hangs bool
 }
 
-// errNoWorker says that there is no worker of the id, or that it leaves already.
+// errNoWorker reports that no worker has the id, or that it is already leaving.
 var errNoWorker = errors.New("no such worker, or it is leaving")
 
-// Remove takes the machine of a worker away for good, once it has drained: its
-// record goes, it is listed no more, and nothing answers at its address. It
-// returns after that.
+// Remove removes the machine of a worker for good, once it has drained: its record is
+// deleted, it is listed no more, and nothing answers at its address. It returns after
+// that.
 func (f *Fleet) Remove(id string, r Removal) error {
 	m, err := f.beginRemoval(id, r)
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// MostLasting returns the id of the worker with the most lasting tasks and its
-// pool, among those that are not leaving; none if no lasting task runs.
+// MostLasting returns the id and the pool of the worker with the most lasting tasks,
+// among those that are not leaving; both are empty if no lasting task runs.
 func (f *Fleet) MostLasting() (id, pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,17 +83,17 @@
 	return id, pool
 }
 
-// HasRoom reports whether a worker of the pool answers, is not leaving and has at
-// most so many runs, of which three lasting ones count as one, or a machine is there that
-// is switched off.
-func (f *Fleet) HasRoom(pool string, most int) bool {
+// HasRoom reports whether a worker of the pool answers, is not leaving and has at most
+// maxRuns runs, of which lastingPerRun lasting ones count as one, or whether there is a
+// spare machine.
+func (f *Fleet) HasRoom(pool string, maxRuns int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.machines {
 		if m.State != "up" || m.leaving {
 			continue
 		}
-		if m.Pool == f.Spare || m.Pool == pool && m.worker.hasRoom(most) {
+		if m.Pool == f.Spare || m.Pool == pool && m.worker.hasRoom(maxRuns) {
 			return true
 		}
 	}
@@ -112,7 +112,7 @@
 	return n
 }
 
-func (w *worker) hasRoom(most int) bool {
+func (w *worker) hasRoom(maxRuns int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	used := 0
@@ -123,13 +123,13 @@
 			used += lastingPerRun
 		}
 	}
-	return !w.silent && used <= most*lastingPerRun
+	return !w.silent && used <= maxRuns*lastingPerRun
 }
 
-// lastingPerRun is how many lasting tasks take the room of another task.
+// lastingPerRun is how many lasting tasks take the room of one other task.
 const lastingPerRun = 3
 
-// decommission ends the life for good.
+// decommission ends the worker for good. If hangs, its connections hang from then on.
 func (w *worker) decommission(hangs bool) {
 	if !hangs {
 		w.end()
@@ -140,9 +140,8 @@
 	w.listener.hang()
 }
 
-// SilenceConnections has all open connections of the workers lose what they carry
-// from now on, for good: answers, and requests as well unless oneWay. New ones are
-// sound.
+// SilenceConnections silences all open connections of the workers for good: answers are
+// lost from now on, and requests as well unless oneWay. New connections work.
 func (f *Fleet) SilenceConnections(oneWay bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet/removal_test.go
+++ b/internal/standin/fleet/removal_test.go
@@ -28,7 +28,7 @@
 			require.False(t, ok)
 			require.Equal(t, []string{"m-001"}, f.Names(""))
 			require.NoError(t, f.Add("blue", 1, Capacity{CPU: 1000}))
-			require.Equal(t, []string{"m-001", "m-002"}, f.Names(""), "another name")
+			require.Equal(t, []string{"m-001", "m-002"}, f.Names(""), "names are not used again")
 
 			_, err = net.DialTimeout("tcp", w.address(), 200*time.Millisecond)
 			require.Error(t, err)
@@ -57,7 +57,7 @@
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+w.address()+"/run-stop", http.NoBody)
 	require.NoError(t, err)
 	res, err := http.DefaultClient.Do(req)
-	require.NoError(t, err, "it serves on")
+	require.NoError(t, err, "it still serves while draining")
 	_ = res.Body.Close()
 	require.NoError(t, <-done)
 }
@@ -72,9 +72,9 @@
 	require.Eventually(t, func() bool { _, ok := s.Value("k"); return !ok }, time.Second, 5*time.Millisecond)
 }
 
-// startTask starts a task at a worker.
-func startTask(c *http.Client, w *worker, task string, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// startTask orders a worker to start a task.
+func startTask(c *http.Client, w *worker, task string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.address()+"/run-start", strings.NewReader(`{"task":"`+task+`","run":1,"spec":"lasts","until_ms":60000}`))
 	if err != nil {
@@ -96,12 +96,12 @@
 			t.Cleanup(f.Close)
 			require.NoError(t, f.Add("blue", 1, Capacity{CPU: 1000}))
 			w := f.machines[0].worker
-			kept, other := &http.Client{Transport: &http.Transport{}}, &http.Client{Transport: &http.Transport{}}
-			require.NoError(t, startTask(kept, w, "a.0.0.0", time.Second))
+			silenced, fresh := &http.Client{Transport: &http.Transport{}}, &http.Client{Transport: &http.Transport{}}
+			require.NoError(t, startTask(silenced, w, "a.0.0.0", time.Second))
 			f.SilenceConnections(oneWay)
-			require.ErrorIs(t, startTask(kept, w, "a.0.0.1", 200*time.Millisecond), context.DeadlineExceeded)
-			require.Equal(t, oneWay, f.Checker.IsRunning("a.0.0.1"), "what was asked is done one way")
-			require.NoError(t, startTask(other, w, "a.0.0.2", time.Second), "a new connection")
+			require.ErrorIs(t, startTask(silenced, w, "a.0.0.1", 200*time.Millisecond), context.DeadlineExceeded)
+			require.Equal(t, oneWay, f.Checker.IsRunning("a.0.0.1"), "requests are executed if only answers are lost")
+			require.NoError(t, startTask(fresh, w, "a.0.0.2", time.Second), "a new connection")
 		})
 	}
 }
--- a/internal/standin/fleet/restart.go
+++ b/internal/standin/fleet/restart.go
@@ -2,63 +2,65 @@
 
 import "time"
 
-// Restart says how a worker crashes and starts again under its id.
+// Restart describes how a worker crashes and restarts under its id.
 type Restart struct {
-	// DownFor is how long it is down, RecordAfter when it writes its record after its
-	// start: that of before stands until then.
+	// DownFor is how long the worker is down. RecordAfter is how long after its start it
+	// writes its record; that of its last incarnation stays until then.
 	DownFor, RecordAfter time.Duration
-	// ClockOff is by how much its machine's clock is off at its next start.
+	// ClockOff is how far its machine's clock is off at its next start.
 	ClockOff time.Duration
-	// Moves has it listen at another address.
+	// Moves makes it listen at another address.
 	Moves bool
-	// Times is how often it starts; a start after the first follows at once.
+	// Times is how often it restarts. After each start but the last it crashes again at
+	// once, and the clock is off the other way.
 	Times int
 }
 
-// Restart has a worker that runs something crash and start again under its id. It
-// returns the id, or "" where nothing runs anywhere.
-func (f *Fleet) Restart(a Restart) string {
+// Restart makes a worker that runs a task crash and restart under its id. It returns
+// the id, or "" if no worker runs a task.
+func (f *Fleet) Restart(r Restart) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.busyMachine()
 	if m == nil {
 		return ""
 	}
-	f.crashForRestart(m, a)
+	f.crashForRestart(m, r)
 	return m.ID
 }
 
-func (f *Fleet) crashForRestart(m *Machine, a Restart) {
+func (f *Fleet) crashForRestart(m *Machine, r Restart) {
 	w := m.worker
 	f.Checker.recordCrash(w.runningTasks())
 	w.end()
-	time.AfterFunc(a.DownFor, func() { f.restart(m, w, a) })
+	time.AfterFunc(r.DownFor, func() { f.restart(m, w, r) })
 }
 
-// restart starts the worker anew, unless its machine has had an order or was taken away.
-func (f *Fleet) restart(m *Machine, before *worker, a Restart) {
+// restart starts the next incarnation of the worker, unless its machine has had an
+// order since or is being removed.
+func (f *Fleet) restart(m *Machine, old *worker, r Restart) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m.worker != before || m.leaving || m.State != "up" {
+	if m.worker != old || m.leaving || m.State != "up" {
 		return
 	}
-	address := before.address()
-	if a.Moves {
+	address := old.address()
+	if r.Moves {
 		address = anyAddress
 	}
-	if f.startWorker(m, address, a.ClockOff) != nil && f.startWorker(m, anyAddress, a.ClockOff) != nil {
+	if f.startWorker(m, address, r.ClockOff) != nil && f.startWorker(m, anyAddress, r.ClockOff) != nil {
 		return
 	}
-	if a.Times--; a.Times > 0 {
-		a.ClockOff = -a.ClockOff
-		f.crashForRestart(m, a)
+	if r.Times--; r.Times > 0 {
+		r.ClockOff = -r.ClockOff
+		f.crashForRestart(m, r)
 		return
 	}
 	w := m.worker
-	time.AfterFunc(a.RecordAfter, func() { f.writeRecord(m, w) })
+	time.AfterFunc(r.RecordAfter, func() { f.writeRecord(m, w) })
 }
 
-// writeRecord writes the worker's record if it still runs.
+// writeRecord writes the worker's record if the worker still runs.
 func (f *Fleet) writeRecord(m *Machine, w *worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet/run.go
+++ b/internal/standin/fleet/run.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// stopDuration is how long a lasting run takes to end once it was told to.
+// stopDuration is how long a lasting run takes to end after an order to stop.
 const stopDuration = 200 * time.Millisecond
 
-// minWarmUp is the shortest that a lasting task takes to be at work that takes any time.
+// minWarmUp is the shortest warm-up of a lasting task that has one.
 const minWarmUp = 300 * time.Millisecond
 
 // run is one run of a task on a worker.
@@ -19,15 +19,15 @@
 	lasting   bool
 	failing   bool
 	pace      int
-	// warmUp is how long a lasting run takes to be at work, failsAt when it fails by itself,
+	// warmUp is how long a lasting run takes to be ready, failsAt when it fails by itself,
 	// stopsAt when it ends by an order; never, if zero.
 	warmUp           time.Duration
 	failsAt, stopsAt time.Time
-	// ready says that the books have it as at work.
+	// ready says that the checker has recorded it as ready.
 	ready bool
 }
 
-// newRun returns a run that begins now.
+// newRun returns a run that starts now.
 func newRun(number int64, b behaviour) *run {
 	r := &run{number: number, startedAt: time.Now(), runTime: b.runTime, lasting: b.lasts, failing: b.fails, pace: 100}
 	if b.maxWarmUp > minWarmUp {
@@ -39,7 +39,7 @@
 	return r
 }
 
-// percent returns how far the run is; a lasting one is at work at 100.
+// percent returns the progress of the run; a lasting one is ready at 100.
 func (r *run) percent() int {
 	if !r.lasting {
 		return int(min(99, 100*time.Since(r.startedAt)/max(1, r.runTime)))
@@ -47,7 +47,7 @@
 	return int(min(100, 100*time.Since(r.startedAt)/max(1, r.warmUp)))
 }
 
-// lastingOutcome returns how a lasting run ends by now, or "".
+// lastingOutcome returns the outcome of a lasting run, or "" if it has not ended by now.
 func (r *run) lastingOutcome(now time.Time) string {
 	switch {
 	case !r.stopsAt.IsZero() && !now.Before(r.stopsAt):
@@ -58,11 +58,11 @@
 	return ""
 }
 
-// endDueRuns ends the runs that are over, and notes which lasting ones are at work.
+// endDueRuns ends the runs that are due to end, and records which lasting ones are ready.
 func (w *worker) endDueRuns() {
 	for t, r := range w.runs {
-		if how := w.outcome(r); how != "" {
-			w.finish(t, r, how)
+		if outcome := w.outcome(r); outcome != "" {
+			w.finish(t, r, outcome)
 			continue
 		}
 		if r.lasting && !r.ready && r.percent() == 100 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// outcome returns how the run ends by now, or "" where it goes on.
+// outcome returns the outcome of the run, or "" if it goes on.
 func (w *worker) outcome(r *run) string {
 	switch {
 	case w.leaseUntil > 0 && w.clockMs() > w.leaseUntil:
@@ -87,30 +87,30 @@
 	return "done"
 }
 
-func (w *worker) finish(task string, r *run, how string) {
+func (w *worker) finish(task string, r *run, outcome string) {
 	delete(w.runs, task)
 	w.lastEnd++
-	w.endedRuns = append(w.endedRuns, []any{w.lastEnd, task, r.number, how, ""})
-	w.checker.recordEnd(task, r.number, how)
+	w.endedRuns = append(w.endedRuns, []any{w.lastEnd, task, r.number, outcome, ""})
+	w.checker.recordEnd(task, r.number, outcome)
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// stop has a run end by an order.
-func (w *worker) stop(task string, r *run, late bool) {
+// stop ends a run by an order; a lasting one ends after stopDuration.
+func (w *worker) stop(task string, r *run, delayed bool) {
 	if !r.lasting {
 		w.finish(task, r, "stopped")
 		return
 	}
 	if r.stopsAt.IsZero() {
-		w.checker.checkDisruption(stopOrder{task: task, run: r.number, worker: w.id, exempt: late || w.leaving})
+		w.checker.checkDisruption(stopOrder{task: task, run: r.number, worker: w.id, exempt: delayed || w.leaving})
 		r.stopsAt = time.Now().Add(stopDuration)
 	}
 }
 
-// checkDisruptions notes that an order to the worker's machine, which may have been held up, ends
-// all that runs.
-func (w *worker) checkDisruptions(late bool) {
+// checkDisruptions checks the disruptions by an order to the worker's machine, which may
+// have been delayed and ends all runs.
+func (w *worker) checkDisruptions(delayed bool) {
 	if w == nil {
 		return
 	}
@@ -118,12 +118,11 @@
 	defer w.mu.Unlock()
 	for t, r := range w.runs {
 		if r.stopsAt.IsZero() {
-			w.checker.checkDisruption(stopOrder{task: t, run: r.number, worker: w.id, exempt: late})
+			w.checker.checkDisruption(stopOrder{task: t, run: r.number, worker: w.id, exempt: delayed})
 		}
 	}
 }
 
-// setLeaving notes that the worker says that it leaves.
 func (w *worker) setLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// StoreFault is what is wrong with the store.
+// StoreFault is a fault that is injected into the store.
 type StoreFault struct {
 	// Refuse answers all calls with 503.
 	Refuse bool
-	// LoseAnswers does what is asked and answers nothing.
+	// LoseAnswers executes writes and drops the connection instead of answering.
 	LoseAnswers bool
-	// HangWatches leaves watches without an answer; those that wait already hear
-	// nothing more either.
+	// HangWatches leaves watches without an answer; those that already wait get no
+	// more events either.
 	HangWatches bool
-	// Delay comes before each answer.
+	// Delay is how long each call is delayed.
 	Delay time.Duration
 }
 
@@ -29,7 +29,7 @@
 	items     map[string]item
 	leases    map[int64]lease
 	history   []item
-	// compactedTo is the revision up to which the history is gone.
+	// compactedTo is the revision up to which the history has been dropped.
 	compactedTo int64
 	changed     chan struct{}
 	closed      chan struct{}
@@ -51,7 +51,7 @@
 	expires time.Time
 }
 
-// maxHistory is how many changes a watch may lie behind.
+// maxHistory is how many changes the history may hold, after which half are dropped.
 const maxHistory = 20000
 
 // NewStore returns an empty store.
@@ -61,10 +61,10 @@
 	return s
 }
 
-// leaseCheckInterval is how late a lease may end.
+// leaseCheckInterval bounds how late a lease expires.
 const leaseCheckInterval = 20 * time.Millisecond
 
-// expireLoop ends leases in time, also while nobody calls.
+// expireLoop expires leases in time, even if no calls come.
 func (s *Store) expireLoop() {
 	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
@@ -80,19 +80,19 @@
 	}
 }
 
-// Close ends the watches that wait.
+// Close ends the watches that wait, and the expiry of leases.
 func (s *Store) Close() {
 	close(s.closed)
 }
 
-// SetFault switches what is wrong.
+// SetFault sets the fault of the store; a zero StoreFault ends it.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls returns how many calls came.
+// Calls returns how many calls the store has received.
 func (s *Store) Calls() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// Remove removes a key as a worker's end does.
+// Remove removes a key, as at the end of a worker.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 	return i.Value, ok
 }
 
-// Compact drops the history, so that watches have to list anew.
+// Compact drops the history, so that watches have to list again.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +165,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expireLeases ends the leases that are over.
+// expireLeases ends the leases whose time has passed.
 func (s *Store) expireLeases() {
 	for id, l := range s.leases {
 		if time.Now().After(l.expires) {
@@ -184,7 +184,7 @@
 	}
 }
 
-// since returns the changes after a revision, and whether some are forgotten.
+// since returns the changes after a revision, and whether some have been dropped.
 func (s *Store) since(prefix string, after int64) ([]item, bool) {
 	if after < s.compactedTo {
 		return nil, true
--- a/internal/standin/fleet/store_http.go
+++ b/internal/standin/fleet/store_http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Handler serves the store's interface.
+// Handler serves the store's API.
 func (s *Store) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /kv-key", s.serveKey)
@@ -38,7 +38,7 @@
 	})
 }
 
-// discardWriter takes an answer that is lost.
+// discardWriter is a ResponseWriter that discards the answer.
 type discardWriter struct{ h http.Header }
 
 // Header is part of http.ResponseWriter.
@@ -55,8 +55,8 @@
 // WriteHeader is part of http.ResponseWriter.
 func (*discardWriter) WriteHeader(int) {}
 
-// decode reads a call's body into v. It answers 400 and reports false where the
-// body is none.
+// decode decodes the body of a call into v. If the body is invalid, it answers 400 and
+// reports false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	err := json.NewDecoder(r.Body).Decode(v)
 	if err != nil {
@@ -83,8 +83,8 @@
 	writeJSON(w, http.StatusOK, i)
 }
 
-// pageSize is how many items a page holds: fewer than the platform's 500, so
-// that pages are met in tests.
+// pageSize is how many items a page holds: fewer than the platform's 500, so that
+// lists in tests have several pages.
 const pageSize = 100
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -109,18 +109,18 @@
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		l, gone := s.since(q.Get("prefix"), after)
+		l, compacted := s.since(q.Get("prefix"), after)
 		at, changed := s.revision, s.changed
-		mute := s.fault.HangWatches
+		hangs := s.fault.HangWatches
 		s.mu.Unlock()
 		switch {
-		case mute:
+		case hangs:
 			select {
 			case <-r.Context().Done():
 			case <-s.closed:
 			}
 			return
-		case gone:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(l) > 0:
@@ -154,17 +154,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	there := []item{}
+	existing := []item{}
 	failed := false
 	for _, g := range t.IfRev {
 		i, ok := s.items[g.Key]
 		failed = failed || i.Rev != g.Rev
 		if ok {
-			there = append(there, i)
+			existing = append(existing, i)
 		}
 	}
 	if failed {
-		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": there})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": existing})
 		return
 	}
 	for _, p := range t.Put {
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// worker is one life of a worker.
+// worker is one incarnation of a worker.
 type worker struct {
 	id      string
 	pool    string
 	machine *Machine
 	server  *httptest.Server
-	// crash ends the life, as its tasks may do.
+	// crash crashes the worker, as its tasks may do.
 	crash     func()
 	listener  *faultyListener
 	checker   *Checker
@@ -25,31 +25,31 @@
 	mu            sync.Mutex
 	stopped       bool
 	silent        bool
-	// leaving says that its record tells that it leaves.
+	// leaving says that its machine is being removed.
 	leaving bool
-	// orderDelay says by how much orders are late, if not nil.
+	// orderDelay returns how long an order is delayed; nil delays none.
 	orderDelay func() time.Duration
 	fence      int64
 	leaseUntil int64
 	runs       map[string]*run
 	highestRun map[string]int64
 	endedRuns  [][]any
-	// lastVoidEnd is the last end from before a lapse of the lease: such ends do not
-	// count once they are taken note of.
+	// lastVoidEnd is the last end from before the lease expired: the acknowledgement of
+	// an end up to it does not count.
 	lastVoidEnd int64
 	lastEnd     int64
 	changed     chan struct{}
 }
 
-// newWorker returns a worker that listens at the address and has just started by its
-// machine's clock, which is off by a little.
-func newWorker(id, address string, off time.Duration, m *Machine, b *Checker) (*worker, error) {
-	g, err := newFaultyListener(address)
+// newWorker returns a worker that listens at the address and has just started. Its
+// machine's clock is off by clockOff.
+func newWorker(id, address string, clockOff time.Duration, m *Machine, c *Checker) (*worker, error) {
+	l, err := newFaultyListener(address)
 	if err != nil {
 		return nil, err
 	}
 	w := &worker{
-		id: id, pool: m.Pool, machine: m, listener: g, checker: b, startedAt: time.Now(), reportedStart: time.Now().Add(off),
+		id: id, pool: m.Pool, machine: m, listener: l, checker: c, startedAt: time.Now(), reportedStart: time.Now().Add(clockOff),
 		runs: map[string]*run{}, highestRun: map[string]int64{}, changed: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
@@ -57,28 +57,28 @@
 	mux.HandleFunc("POST /run-stop", w.serveStop)
 	mux.HandleFunc("POST /hold", w.servePoll)
 	mux.HandleFunc("POST /pace", w.servePace)
-	w.server = &httptest.Server{Listener: g, Config: &http.Server{Handler: w.intercept(mux)}}
+	w.server = &httptest.Server{Listener: l, Config: &http.Server{Handler: w.intercept(mux)}}
 	w.server.Start()
 	go w.endRunsLoop()
 	return w, nil
 }
 
-// endRunsLoop ends runs in time, also while nobody asks.
+// endRunsLoop ends runs in time, even if no calls come.
 func (w *worker) endRunsLoop() {
 	for range time.Tick(5 * time.Millisecond) {
 		w.mu.Lock()
-		over := w.stopped
-		if !over {
+		stopped := w.stopped
+		if !stopped {
 			w.endDueRuns()
 		}
 		w.mu.Unlock()
-		if over {
+		if stopped {
 			return
 		}
 	}
 }
 
-// end ends the life and all that runs.
+// end ends the worker and all its runs.
 func (w *worker) end() {
 	w.endRuns()
 	_ = w.listener.Close()
@@ -218,7 +218,7 @@
 	writeJSON(rw, http.StatusOK, map[string]any{"born": w.reportedStart.UnixMilli(), "clock_ms": w.clockMs(), "running": running, "ended": w.endedRuns})
 }
 
-// yieldLock lets others in for a moment.
+// yieldLock releases the lock for a moment.
 func (w *worker) yieldLock() {
 	w.mu.Unlock()
 	time.Sleep(2 * time.Millisecond)
@@ -229,7 +229,7 @@
 	return strings.TrimPrefix(w.server.URL, "http://")
 }
 
-// record is what the worker writes to the store of itself.
+// record returns the worker's record in the store.
 func (w *worker) record(draining bool) map[string]any {
 	state := "ready"
 	if draining {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -16,20 +16,20 @@
 	"amberway/platform"
 )
 
-// Stats counts the calls that a platform took.
+// Stats counts the calls to a Platform.
 type Stats struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 }
 
-// Platform takes the place of the platform's service and of its host list.
+// Platform is a stand-in of the platform's key-value service and of its host list.
 type Platform struct {
 	Store  *Store
 	Faults *Faults
-	// Lag is how far the host list is behind.
+	// Lag is how far the served host list is behind.
 	Lag time.Duration
-	// RebootTime is how long a host stays away in a reboot.
+	// RebootTime is how long a host is down during a reboot.
 	RebootTime time.Duration
 
 	reads      atomic.Int64
@@ -57,7 +57,8 @@
 	return p
 }
 
-// Handler returns the interface of the named listener, with its faults.
+// Handler returns the handler of the named listener: the platform's API with the
+// listener's faults, and endpoints under /standin/ that control the stand-in.
 func (p *Platform) Handler(name string) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("POST /v3/kv/range", p.kvRange)
@@ -109,7 +110,7 @@
 	writeJSON(w, struct{}{})
 }
 
-// downCheckInterval is how often an open watch looks whether its listener is down.
+// downCheckInterval is how often an open watch checks whether its listener is down.
 const downCheckInterval = 100 * time.Millisecond
 
 func (p *Platform) watch(name string) http.HandlerFunc {
@@ -163,8 +164,8 @@
 	p.answerList(w, r, out)
 }
 
-// answerList answers a conditional request for a list that has not changed
-// with its time only.
+// answerList answers a conditional request with status 304 and the time of the list
+// if the hosts have not changed.
 func (p *Platform) answerList(w http.ResponseWriter, r *http.Request, l platform.HostList) {
 	b, err := json.Marshal(l.Hosts)
 	if err != nil {
@@ -200,7 +201,8 @@
 	return l
 }
 
-// reboot takes an order unless it is late or of a lower term.
+// reboot accepts an order unless its deadline has passed or its term is lower than
+// that of an earlier one. A repeated order does not reboot the host again.
 func (p *Platform) reboot(w http.ResponseWriter, r *http.Request) {
 	var o platform.RebootOrder
 	if !decode(w, r, &o) {
@@ -239,7 +241,7 @@
 	go setTargetFault(h, Fault{})
 }
 
-// setTargetFault switches the fault of a target.
+// setTargetFault sets the fault of the target on the host.
 func setTargetFault(h platform.Host, f Fault) {
 	b, err := json.Marshal(f)
 	if err != nil {
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy passes TCP connections on over loopback, for tests of what
-// silent connections cost.
+// Package proxy forwards TCP connections over loopback, for tests of what silent
+// connections cost.
 package proxy
 
 import (
@@ -9,19 +9,19 @@
 	"sync/atomic"
 )
 
-// Direction is which bytes of a silenced connection get lost.
+// Direction says which bytes of a silenced connection are lost.
 type Direction int
 
-// The ways of a Proxy.
+// The directions in which Silence loses bytes.
 const (
 	// Both loses requests and answers.
 	Both Direction = iota
-	// AnswersOnly passes requests on and loses answers.
+	// AnswersOnly forwards requests and loses answers.
 	AnswersOnly
 )
 
-// Proxy passes connections on to an address. Those that are open can be silenced
-// for good, without a reset, while new ones work.
+// Proxy forwards connections to an address. Open connections can be silenced for
+// good, without a reset, while new ones work.
 type Proxy struct {
 	listener net.Listener
 	upstream netip.AddrPort
@@ -30,13 +30,14 @@
 	links    map[*link]bool
 }
 
-// link is one connection that is passed on.
+// link is one connection that is forwarded.
 type link struct {
 	client, server net.Conn
-	silent         [2]atomic.Bool
+	// silent says whether the bytes from the client, and those from the server, are lost.
+	silent [2]atomic.Bool
 }
 
-// New returns a proxy of the address.
+// New returns a running proxy that forwards to the address.
 func New(to netip.AddrPort) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,24 +53,24 @@
 	return netip.MustParseAddrPort(p.listener.Addr().String())
 }
 
-// Opened returns how many connections have been opened so far.
+// Opened returns how many connections have been forwarded so far.
 func (p *Proxy) Opened() int64 {
 	return p.opened.Load()
 }
 
-// Silence loses from now on what the open connections carry, and returns how many
-// those are.
-func (p *Proxy) Silence(w Direction) int {
+// Silence loses what the open connections carry in the direction from now on, and
+// returns how many those are.
+func (p *Proxy) Silence(d Direction) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
-		l.silent[0].Store(w == Both)
+		l.silent[0].Store(d == Both)
 		l.silent[1].Store(true)
 	}
 	return len(p.links)
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// forward copies bytes, or loses them while the link is silent. The end of one side
-// ends the other, but for a silent link, where it is lost too.
+// forward copies bytes, or discards them while the link is silent. The end of one
+// side ends the other, except on a silent link, where it is lost as well.
 func (p *Proxy) forward(l *link, from, to net.Conn, silent *atomic.Bool) {
 	b := make([]byte, 32<<10)
 	for {
--- a/internal/standin/refused.go
+++ b/internal/standin/refused.go
@@ -2,5 +2,5 @@
 
 import "syscall"
 
-// errRefused is the error of a connection that no process listens for.
+// errRefused is the error of a dial to an address where no process listens.
 var errRefused = syscall.ECONNREFUSED
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -18,7 +18,7 @@
 	changed  chan struct{}
 }
 
-// change is one event and the revision that it made.
+// change is an event and the revision that it created.
 type change struct {
 	revision int64
 	event    platform.WireEvent
@@ -32,8 +32,8 @@
 	return &Store{revision: 1, keys: map[string]platform.WireKV{}, changed: make(chan struct{})}
 }
 
-// Range returns the entries from key up to end, or only the key where end is
-// empty.
+// Range returns the entries from key up to but excluding end, or only that of the key
+// if end is empty, and the current revision.
 func (s *Store) Range(key, end string) ([]platform.WireKV, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,8 @@
 	return l, s.revision
 }
 
-// Txn applies the transaction if all its compares hold.
+// Txn applies the transaction if all its compares hold. It returns whether they do,
+// and the current revision.
 func (s *Store) Txn(t platform.WireTxn) (bool, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// Since returns the changes from the revision on, the next revision to ask
+// Since returns the events from the revision on, the next revision to ask
 // for, and a channel that closes at the next change.
 func (s *Store) Since(rev int64, key, end string) ([]platform.WireEvent, int64, <-chan struct{}) {
 	s.mu.Lock()
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -14,7 +14,7 @@
 	"amberway/common"
 )
 
-// Headers by which a caller tells a target what to do.
+// Headers with which a caller controls a target.
 const (
 	// HeaderRunTime is how long the run takes, as a Go duration.
 	HeaderRunTime = "Standin-Run"
@@ -22,19 +22,19 @@
 	HeaderPadding = "Standin-Size"
 )
 
-// RunStats is what a target has run.
+// RunStats counts what a target has run.
 type RunStats struct {
 	// ByID counts the runs of each request id.
 	ByID map[string]int `json:"by_id"`
-	// MaxConcurrent is the highest number of runs at one moment.
+	// MaxConcurrent is the highest number of runs at the same time.
 	MaxConcurrent int `json:"most"`
-	// OverLimit counts runs that began with all slots taken.
+	// OverLimit counts runs that started while all slots were taken.
 	OverLimit int `json:"over"`
-	// LastStart is when the last run began.
+	// LastStart is when the last run started.
 	LastStart time.Time `json:"last"`
 }
 
-// Target takes the place of a worker that runs requests.
+// Target is a stand-in of a target: a back end that runs requests.
 type Target struct {
 	Name    string
 	Slots   int
@@ -46,7 +46,7 @@
 	runs   RunStats
 }
 
-// NewTarget returns a target with a number of slots and a usual run time.
+// NewTarget returns a target with a number of slots and a default run time.
 func NewTarget(name string, slots int, run time.Duration) *Target {
 	return &Target{
 		Name:    name,
@@ -57,7 +57,7 @@
 	}
 }
 
-// Handler returns the target's interface.
+// Handler serves runs, and endpoints under /standin/ that control the target.
 func (t *Target) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("POST /standin/faults", t.Faults)
@@ -128,7 +128,7 @@
 	return t.RunTime
 }
 
-// answer sends what Expect tells the caller to wait for.
+// answer sends the answer that ExpectedAnswer gives, or half of it.
 func (t *Target) answer(w http.ResponseWriter, r *http.Request, id string, b []byte, half bool) {
 	n, _ := strconv.Atoi(r.Header.Get(HeaderPadding))
 	out := ExpectedAnswer(r.URL.Path, b, n)
@@ -143,7 +143,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// ExpectedAnswer returns the whole answer to a body at a path, with padding bytes.
+// ExpectedAnswer returns the complete answer to a request with the path and the
+// body, with so many padding bytes.
 func ExpectedAnswer(path string, body []byte, padding int) string {
 	return fmt.Sprintf("%s %016x %s", path, xxhash.Sum64(body), strings.Repeat("x", padding))
 }
