--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -40,7 +40,8 @@
 	RunTime time.Duration
 }
 
-// LoadReport counts the outcomes of the requests of a load.
+// LoadReport counts the outcomes of the requests of a load. A lost request failed
+// without a complete answer, a mismatched one got an answer to another request.
 type LoadReport struct {
 	Sent       int `json:"sent"`
 	Answered   int `json:"answered_whole_and_in_time"`
--- a/internal/standin/faultystore.go
+++ b/internal/standin/faultystore.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// readError returns the error of a read. A read changes nothing, so that it succeeds
-// where only the answer to a write would be lost.
+// readError returns the error of a read, which also succeeds where a write would lose
+// its answer.
 func readError(f Outcome) error {
 	switch f {
 	case Succeeds, AnswerLost, Delayed:
--- a/internal/standin/fleet/checker.go
+++ b/internal/standin/fleet/checker.go
@@ -85,7 +85,7 @@
 	c.firstStepTasks = firstStepTasks
 }
 
-// recordCrash records the tasks that ran on a worker when it crashed.
+// recordCrash records the crash of a worker that ran the tasks.
 func (c *Checker) recordCrash(tasks []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/fleet/disruption.go
+++ b/internal/standin/fleet/disruption.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// checkDisruption records that an order stops a run, and checks that the task's step has
-// fewer other unavailable tasks than it may have.
+// checkDisruption records that an order stops a run. If the task is ready, it checks that
+// fewer others of its step are unavailable than may be.
 func (c *Checker) checkDisruption(o stopOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/fleet/machineorders.go
+++ b/internal/standin/fleet/machineorders.go
@@ -24,9 +24,10 @@
 // machineOrder is one order to a machine.
 type machineOrder struct {
 	fence int64
-	// number counts the orders in the sequence of their arrival.
+	// number is its position in the sequence of arrivals.
 	number int
-	// isDone reports whether nothing is left to do; apply executes it once the worker has stopped.
+	// isDone reports whether nothing is left to do; apply executes it once the machine's
+	// worker has stopped.
 	isDone func(*Machine) bool
 	apply  func(*Machine)
 	// delayed says that it was delayed.
--- a/internal/standin/fleet/machines.go
+++ b/internal/standin/fleet/machines.go
@@ -29,7 +29,8 @@
 	wave     int64
 	// leaving says that it is being removed for good.
 	leaving bool
-	// fence is the highest fence of its orders, lastOrder the number of the newest executed one.
+	// fence is the highest fence of its orders, lastOrder the number of the newest one that
+	// was executed.
 	fence     int64
 	lastOrder int
 }
@@ -58,8 +59,8 @@
 }
 
 // New returns a running fleet without machines.
-func New(spare string, downFor time.Duration) *Fleet {
-	f := &Fleet{Store: NewStore(), Checker: NewChecker(), Spare: spare, Downtime: downFor, downByWave: map[int64]int{}, maxDownByWave: map[int64]int{}}
+func New(spare string, downtime time.Duration) *Fleet {
+	f := &Fleet{Store: NewStore(), Checker: NewChecker(), Spare: spare, Downtime: downtime, downByWave: map[int64]int{}, maxDownByWave: map[int64]int{}}
 	f.kv = httptest.NewServer(f.Store.Handler())
 	m := http.NewServeMux()
 	m.HandleFunc("GET /machines", f.serveList)
@@ -128,8 +129,8 @@
 }
 
 // startWorker starts a worker under the machine's id, without writing a record.
-func (f *Fleet) startWorker(m *Machine, address string, off time.Duration) error {
-	w, err := newWorker(m.ID, address, off, m, f.Checker)
+func (f *Fleet) startWorker(m *Machine, address string, clockOff time.Duration) error {
+	w, err := newWorker(m.ID, address, clockOff, m, f.Checker)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/fleet/operator.go
+++ b/internal/standin/fleet/operator.go
@@ -21,7 +21,7 @@
 type Team struct {
 	Name string
 	Keys []string
-	// Weight determines its share of the capacity; Cap bounds what it may have running.
+	// Weight is its share relative to other teams; Cap bounds what it may have running.
 	Weight int
 	Cap    Capacity
 }
--- a/internal/standin/fleet/restart.go
+++ b/internal/standin/fleet/restart.go
@@ -12,7 +12,7 @@
 	// Moves makes it listen at another address.
 	Moves bool
 	// Times is how often it restarts. After each start but the last it crashes again at
-	// once, and the clock is off the other way.
+	// once, and its clock is then off the other way.
 	Times int
 }
 
