--- a/internal/standin/fleet/checker.go
+++ b/internal/standin/fleet/checker.go
@@ -79,10 +79,10 @@
 
 // CheckStepOrder enables the check that a second step starts after the first, of jobs
 // with so many tasks in their first step.
-func (c *Checker) CheckStepOrder(firstStepTasks int) {
+func (c *Checker) CheckStepOrder(tasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.firstStepTasks = firstStepTasks
+	c.firstStepTasks = tasks
 }
 
 // recordCrash records the crash of a worker that ran the tasks.
--- a/internal/standin/fleet/disruption.go
+++ b/internal/standin/fleet/disruption.go
@@ -42,11 +42,11 @@
 }
 
 // CheckDisruptions enables the check of the disruption budget of a lasting job. Its only
-// step has count tasks, of which maxUnavailable may be unavailable at once.
-func (c *Checker) CheckDisruptions(job string, count, maxUnavailable int) {
+// step has count tasks, of which budget may be unavailable at once.
+func (c *Checker) CheckDisruptions(job string, count, budget int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.maxUnavailable[job] = maxUnavailable
+	c.maxUnavailable[job] = budget
 	for x := range count {
 		c.unavailable[fmt.Sprintf("%s.0.0.%d", job, x)] = &unavailableTask{since: time.Now()}
 	}
--- a/internal/standin/fleet/run.go
+++ b/internal/standin/fleet/run.go
@@ -61,8 +61,8 @@
 // endDueRuns ends the runs that are due to end, and records which lasting ones are ready.
 func (w *worker) endDueRuns() {
 	for t, r := range w.runs {
-		if outcome := w.outcome(r); outcome != "" {
-			w.finish(t, r, outcome)
+		if result := w.outcome(r); result != "" {
+			w.finish(t, r, result)
 			continue
 		}
 		if r.lasting && !r.ready && r.percent() == 100 {
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -67,12 +67,12 @@
 func (w *worker) endRunsLoop() {
 	for range time.Tick(5 * time.Millisecond) {
 		w.mu.Lock()
-		stopped := w.stopped
-		if !stopped {
+		done := w.stopped
+		if !done {
 			w.endDueRuns()
 		}
 		w.mu.Unlock()
-		if stopped {
+		if done {
 			return
 		}
 	}
