--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -41,7 +41,7 @@
 }
 
 // LoadReport counts the outcomes of the requests of a load. A lost request failed
-// without a complete answer, a mismatched one got an answer to another request.
+// without a complete answer, a mismatched one got another body than ExpectedAnswer.
 type LoadReport struct {
 	Sent       int `json:"sent"`
 	Answered   int `json:"answered_whole_and_in_time"`
