--- a/common/attempt.go
+++ b/common/attempt.go
@@ -11,22 +11,23 @@
 	"time"
 )
 
-// attempt is one call on its way.
+// attempt is one try of a call.
 type attempt struct {
 	InFlightCall
 	Request
-	// address is where a call goes that is not encrypted, which plain says.
+	// plain says that the call is not encrypted; address is then where it goes.
 	address string
 	plain   bool
 	ctx     context.Context
-	// cancel ends the call with a reason. It does nothing where only the context does.
+	// cancel ends the call with a cause. It does nothing for a call that only its context
+	// can end.
 	cancel context.CancelCauseFunc
 	conns  *Connections
-	// connectedAt is when the call had its connection, the zero time before.
+	// connectedAt is when the call got its connection; until then it is zero.
 	connectedAt time.Time
 	// reused says that the connection has served earlier calls.
 	reused bool
-	// streaming says that the answer goes on for as long as the connection stands.
+	// streaming says that the answer goes on for as long as the connection is open.
 	streaming bool
 	timer     atomic.Pointer[time.Timer]
 }
@@ -39,7 +40,7 @@
 	return a
 }
 
-// newStream returns the attempt of a call whose answer goes on until it is ended.
+// newStream returns the attempt of a call whose answer goes on until it is closed.
 func newStream(ctx context.Context, o *Connections, q Request) *attempt {
 	a := prepare(ctx, o, q)
 	a.streaming = true
@@ -54,40 +55,41 @@
 	return a
 }
 
-// makeCancellable lets the attempt end by other reasons than its context's.
+// makeCancellable lets the attempt be ended for other causes than its context's.
 func (a *attempt) makeCancellable() {
 	a.ctx, a.cancel = context.WithCancelCause(a.ctx)
 }
 
-// tracedContext returns the attempt's context with what a client of net/http has to tell of.
+// tracedContext returns the attempt's context with the hooks by which net/http reports the
+// connection and the start of the answer.
 func (a *attempt) tracedContext() context.Context {
 	return httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{GotConn: a.gotConn, GotFirstResponseByte: a.stopTimer})
 }
 
-// gotConn begins the call on a connection. It is called again where that turned out to
-// be closed before anything was sent.
+// gotConn records the call's connection and starts its timer. net/http calls it again if
+// the connection turned out to be closed before anything was sent.
 func (a *attempt) gotConn(i httptrace.GotConnInfo) {
 	a.stopTimer()
 	a.connectedAt, a.reused = time.Now(), i.Reused
-	var giveUp func()
+	var abandon func()
 	if a.streaming || (i.Reused && a.failsEarly()) {
-		giveUp = func() { a.cancel(errDistrusted) }
+		abandon = func() { a.cancel(errDistrusted) }
 	}
-	a.conns.Begin(&a.InFlightCall, i.Conn, giveUp)
-	end, bounded := a.ctx.Deadline()
-	p := a.reusedTimeout(end.Sub(a.connectedAt))
+	a.conns.Begin(&a.InFlightCall, i.Conn, abandon)
+	deadline, bounded := a.ctx.Deadline()
+	timeout := a.reusedTimeout(deadline.Sub(a.connectedAt))
 	if !i.Reused && a.StallTimeout > 0 {
-		p, bounded = a.Wait+a.StallTimeout, true
+		timeout, bounded = a.Wait+a.StallTimeout, true
 	} else if !i.Reused {
-		p = 0
+		timeout = 0
 	}
-	if bounded && p > 0 {
-		a.startTimer(p)
+	if bounded && timeout > 0 {
+		a.startTimer(timeout)
 	}
 }
 
-// startTimer ends the call after a time. A new connection that brings nothing is not
-// silent: the other side is slow.
+// startTimer ends the call after d unless the timer is stopped or reset. A new connection
+// that receives nothing is not silent: the other side is slow.
 func (a *attempt) startTimer(d time.Duration) {
 	why := errStalled
 	if a.reused {
@@ -96,8 +98,8 @@
 	a.timer.Store(time.AfterFunc(d, func() { a.cancel(why) }))
 }
 
-// stallingBody returns what reads the answer's body and ends the call once nothing comes for
-// its Stall.
+// stallingBody returns a reader of the answer's body that ends the call once it has
+// received nothing for StallTimeout.
 func (a *attempt) stallingBody(r io.Reader) io.Reader {
 	if a.StallTimeout == 0 {
 		return r
@@ -106,17 +108,17 @@
 	return &progressReader{Reader: r, attempt: a}
 }
 
-// progressReader is a body that is read for as long as it goes on.
+// progressReader reads a body and restarts the attempt's timer whenever data arrive.
 type progressReader struct {
 	io.Reader
 	attempt *attempt
 }
 
-// Read reads, and puts the end of the call off.
-func (m *progressReader) Read(b []byte) (int, error) {
-	n, err := m.Reader.Read(b)
-	if t := m.attempt.timer.Load(); t != nil && n > 0 {
-		t.Reset(m.attempt.StallTimeout)
+// Read implements io.Reader.
+func (p *progressReader) Read(b []byte) (int, error) {
+	n, err := p.Reader.Read(b)
+	if t := p.attempt.timer.Load(); t != nil && n > 0 {
+		t.Reset(p.attempt.StallTimeout)
 	}
 	return n, err
 }
@@ -133,8 +135,8 @@
 	a.cancel(nil)
 }
 
-// wrapError returns the error of a call without an answer, and gives up what is not
-// newer than its connection where that was silent.
+// wrapError returns the error of a call without an answer. If its connection was silent,
+// it also closes the idle connections and abandons the calls that may be affected as well.
 func (a *attempt) wrapError(err error) error {
 	kind := ErrUnknownOutcome
 	if a.connectedAt.IsZero() || errors.Is(err, syscall.ECONNREFUSED) {
@@ -150,7 +152,8 @@
 	return a.connectedAt.Add(a.Wait)
 }
 
-// checkSilence returns why the call's connection counts as silent, or nil.
+// checkSilence returns why the call's connection counts as silent, or nil. If the call
+// itself has found the silence, other connections to its address are distrusted too.
 func (a *attempt) checkSilence() error {
 	why := context.Cause(a.ctx)
 	if errors.Is(why, errDistrusted) {
--- a/common/class.go
+++ b/common/class.go
@@ -15,7 +15,7 @@
 // NumClasses is the number of classes.
 const NumClasses = 2
 
-// String returns the class's name as it stands in the configuration.
+// String returns the class's name as written in the configuration.
 func (c Class) String() string {
 	if c == Patient {
 		return "patient"
@@ -23,8 +23,7 @@
 	return "quick"
 }
 
-// ParseClass returns the class with the given name, or an error that names the
-// value that is none.
+// ParseClass returns the class with the given name, or an error for any other name.
 func ParseClass(s string) (Class, error) {
 	switch s {
 	case "quick":
@@ -35,12 +34,12 @@
 	return Quick, fmt.Errorf("class: %q is neither quick nor patient", s)
 }
 
-// MarshalText writes the class's name.
+// MarshalText implements encoding.TextMarshaler.
 func (c Class) MarshalText() ([]byte, error) {
 	return []byte(c.String()), nil
 }
 
-// UnmarshalText reads the class's name.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (c *Class) UnmarshalText(b []byte) error {
 	p, err := ParseClass(string(b))
 	if err != nil {
@@ -50,8 +49,8 @@
 	return nil
 }
 
-// UnmarshalYAML reads the class's name. The YAML library would else format the
-// whole document anew for each text that it hands to UnmarshalText.
+// UnmarshalYAML reads the class's name. Without it, the YAML library would format the
+// whole document again for each text that it passes to UnmarshalText.
 func (c *Class) UnmarshalYAML(decode func(any) error) error {
 	var s string
 	if err := decode(&s); err != nil {
--- a/common/common_test.go
+++ b/common/common_test.go
@@ -19,18 +19,18 @@
 	require.False(t, p.Heartbeat(now.Add(heartbeatInterval)))
 	require.False(t, p.Recovering(now.Add(2*heartbeatInterval)))
 	now = now.Add(time.Minute)
-	require.True(t, p.Recovering(now), "before the first beat after the pause")
+	require.True(t, p.Recovering(now), "before the first heartbeat after the pause")
 	require.True(t, p.Heartbeat(now))
-	require.True(t, p.Recovering(now), "after the first beat")
+	require.True(t, p.Recovering(now), "after the first heartbeat")
 	p.reload(t.Context(), func(context.Context) error { return nil })
 	require.False(t, p.Recovering(now))
 	require.True(t, p.Heartbeat(now.Add(time.Minute)))
 	later := now.Add(time.Minute).Add(maxRecovery)
 	p.lastHeartbeat.Store(later.UnixNano())
-	require.False(t, p.Recovering(later), "in an outage it acts on what it knew after a time")
+	require.False(t, p.Recovering(later), "if reloading fails, recovery ends after maxRecovery")
 }
 
-// heapModel drives a Heap and keeps the slots that are in it.
+// heapModel drives a Heap and records the entries that are in it.
 type heapModel struct {
 	heap    *Heap[int]
 	entries map[*HeapEntry[int]]bool
@@ -41,11 +41,11 @@
 }
 
 func (m *heapModel) remove(t *rapid.T) {
-	for s := range m.entries {
-		if !m.heap.Remove(s) || m.heap.Remove(s) {
-			t.Fatal("an item was there twice, or not at all")
+	for e := range m.entries {
+		if !m.heap.Remove(e) || m.heap.Remove(e) {
+			t.Fatal("an item was in the heap twice, or not at all")
 		}
-		delete(m.entries, s)
+		delete(m.entries, e)
 		return
 	}
 }
@@ -53,14 +53,14 @@
 func (m *heapModel) pop(t *rapid.T) {
 	v, ok := m.heap.Pop()
 	if ok == (len(m.entries) == 0) {
-		t.Fatalf("an item came: %t, with %d in the heap", ok, len(m.entries))
+		t.Fatalf("Pop returned an item: %t, with %d in the heap", ok, len(m.entries))
 	}
-	for s := range m.entries {
-		if s.Value < v {
-			t.Fatalf("%d came before %d", v, s.Value)
+	for e := range m.entries {
+		if e.Value < v {
+			t.Fatalf("Pop returned %d before %d", v, e.Value)
 		}
 	}
-	maps.DeleteFunc(m.entries, func(s *HeapEntry[int], _ bool) bool { return s.index < 0 })
+	maps.DeleteFunc(m.entries, func(e *HeapEntry[int], _ bool) bool { return e.index < 0 })
 }
 
 func TestHeapRemovesFromTheMiddle(t *testing.T) {
@@ -75,7 +75,7 @@
 	for _, k := range []string{"1", "2", "3", "4", "5"} {
 		r := Rank(k, names)
 		require.Equal(t, r[0], RankFirst(k, names))
-		require.Equal(t, r[1:], Rank(k, r[1:]), "the order of the others stays when the first leaves")
+		require.Equal(t, r[1:], Rank(k, r[1:]), "removing the first keeps the order of the others")
 	}
 	require.Empty(t, RankFirst("1", nil))
 }
--- a/common/connections.go
+++ b/common/connections.go
@@ -9,25 +9,25 @@
 )
 
 // Connections are the open connections of one client, by address. A connection may
-// go silent for good without a reset while new ones work. All that were opened
-// before the silence may be as dead as the one that showed it, so that they are
-// given up together.
+// become silent for good, without a reset, while new ones work. All that were opened
+// before the silence may be as dead as the one that is found silent, so they are
+// abandoned together.
 type Connections struct {
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 	createdAt time.Time
-	// group is nil where no other client's connections are joined.
+	// group is nil unless JoinConnections was called.
 	group   *ConnectionGroup
 	traffic Traffic
 	mu      sync.Mutex
 	open    map[string]map[*connection]bool
 }
 
-// Traffic returns the counts of what the calls on the connections carry.
+// Traffic returns the byte counts of the calls on the connections.
 func (o *Connections) Traffic() *Traffic {
 	return &o.traffic
 }
 
-// NewConnections returns none yet. They are opened by dial.
+// NewConnections returns an empty set, whose connections dial opens.
 func NewConnections(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Connections {
 	return &Connections{dial: dial, createdAt: time.Now(), open: map[string]map[*connection]bool{}}
 }
@@ -37,29 +37,30 @@
 	net.Conn
 	conns   *Connections
 	address string
-	// lastActive is when it was opened or last brought something, as the time since the
-	// epoch: that is read and written without a lock.
+	// lastActive is when it was opened or last received something, as a duration since
+	// createdAt of the set, so that it is read and written without a lock.
 	lastActive atomic.Int64
 	// sent and received count its bytes.
 	sent, received atomic.Int64
-	// calls are those under way on it. The next may begin just before the last
-	// has been noted to be over.
+	// calls are those in flight on it. There may be two for a moment: the next can begin
+	// just before the end of the last one is recorded.
 	calls map[*InFlightCall]bool
 }
 
-// InFlightCall is one call on its way over a connection.
+// InFlightCall is one call in flight on a connection.
 type InFlightCall struct {
 	conn *connection
-	// kind is the call's in the counts of traffic; sent and received are what its
-	// connection had carried when it began.
-	kind                       string
+	// kind is the call's kind in Traffic.
+	kind string
+	// sentBefore and receivedBefore are the bytes that its connection had carried when the
+	// call began.
 	sentBefore, receivedBefore int64
-	// abandon ends the call on a connection that is no longer trusted, where it may
-	// be repeated; nil where it may not.
+	// abandon ends the call if its connection is no longer trusted; nil for a call that
+	// must not be ended so.
 	abandon func()
 }
 
-// Dial opens a connection. It has the form that http.Transport wants.
+// Dial opens a connection. It fits http.Transport.DialContext.
 func (o *Connections) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	n, err := o.dial(ctx, network, address)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return c, nil
 }
 
-// Read reads, and notes that the connection is alive.
+// Read implements io.Reader, and records that the connection is alive.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -86,14 +87,14 @@
 	return n, err
 }
 
-// Write writes, and counts what is written.
+// Write implements io.Writer, and counts the bytes.
 func (c *connection) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-// NetConn returns the connection below.
+// NetConn returns the underlying connection.
 func (c *connection) NetConn() net.Conn {
 	return c.Conn
 }
@@ -106,7 +107,7 @@
 	return c.lastActive.Load() > int64(t.Sub(c.conns.createdAt))
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from the set.
 func (c *connection) Close() error {
 	c.conns.remove(c)
 	return c.Conn.Close()
@@ -122,13 +123,13 @@
 	}
 }
 
-// Begin notes that the call is on its way over the connection, which Dial has
-// opened, plain or below TLS, and no longer over an earlier one. A call that can be
-// made again is ended by giveUp once the connection is no longer trusted; others have
-// none.
-func (o *Connections) Begin(u *InFlightCall, n net.Conn, giveUp func()) {
+// Begin records that the call is in flight on the connection, and no longer on an
+// earlier one. n was opened by Dial, or is a TLS connection over one that was. abandon
+// is called once the connection is no longer trusted; it is nil for a call that must
+// not be ended so.
+func (o *Connections) Begin(u *InFlightCall, n net.Conn, abandon func()) {
 	c, ok := n.(*connection)
-	if t, below := n.(interface{ NetConn() net.Conn }); !ok && below {
+	if t, wraps := n.(interface{ NetConn() net.Conn }); !ok && wraps {
 		c, ok = t.NetConn().(*connection)
 	}
 	if !ok {
@@ -137,12 +138,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	u.detach()
-	u.conn, u.abandon = c, giveUp
+	u.conn, u.abandon = c, abandon
 	u.sentBefore, u.receivedBefore = c.sent.Load(), c.received.Load()
 	c.calls[u] = true
 }
 
-// End notes that the call is over.
+// End records that the call is over.
 func (o *Connections) End(u *InFlightCall) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -159,21 +160,22 @@
 	u.conn = nil
 }
 
-// Distrust closes the idle connections to the address of a call that was not
-// answered, but for those that have brought something since the time. Where its own
-// connection was kept, it has gone silent, and so may have those of other calls: the
-// ones that can be made again are given up. Other calls go on, and their connections
-// are kept if they still answer.
-func (o *Connections) Distrust(u *InFlightCall, since time.Time, kept bool) {
+// Distrust closes the idle connections to the address of a call that got no answer,
+// except those that have received something since the given time. If the call's own
+// connection was reused, it has become silent, and the connections of other calls may
+// be silent too: those calls that have an abandon function are abandoned. The others go
+// on, and their connections stay open if they still get answers.
+func (o *Connections) Distrust(u *InFlightCall, since time.Time, reused bool) {
 	idle, calls := o.silentWith(u, since)
-	if !kept {
-		// The other side may be slow, and no more calls are to be put to it.
+	if !reused {
+		// The other side may only be slow; repeated calls would add to its load.
 		calls = nil
 	}
 	closeAndAbandon(idle, calls)
 }
 
-// distrustAll does the same for every address.
+// distrustAll distrusts the connections to every address, as Distrust does for a reused
+// connection.
 func (o *Connections) distrustAll(since time.Time) {
 	o.mu.Lock()
 	var idle []*connection
@@ -195,17 +197,19 @@
 	}
 }
 
-func (o *Connections) silentWith(of *InFlightCall, since time.Time) ([]*connection, []func()) {
+// silentWith returns the silent connections to the address of the call, as silentSince
+// does.
+func (o *Connections) silentWith(u *InFlightCall, since time.Time) ([]*connection, []func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if of.conn == nil {
+	if u.conn == nil {
 		return nil, nil
 	}
-	return silentSince(o.open[of.conn.address], since)
+	return silentSince(o.open[u.conn.address], since)
 }
 
-// silentSince returns those of the connections that are idle and have brought nothing
-// since the time, and what ends the calls on the others.
+// silentSince considers the connections that have received nothing since the given time.
+// It returns the idle ones, and the abandon functions of the calls on the others.
 func silentSince(l map[*connection]bool, since time.Time) ([]*connection, []func()) {
 	var idle []*connection
 	var calls []func()
--- a/common/deps.go
+++ b/common/deps.go
@@ -8,32 +8,32 @@
 	"go.opentelemetry.io/otel/metric/noop"
 )
 
-// Deps is handed down to every part at construction. Nothing in amberway
-// reaches for a global in its place.
+// Deps is passed to every part at construction. Nothing in amberway uses globals
+// instead.
 type Deps struct {
 	// Logger receives every log line.
 	Logger *logrus.Logger
-	// Meter makes the instruments of the metrics.
+	// Meter creates the metric instruments.
 	Meter metric.Meter
-	// Now tells the time. Pure code never calls it.
+	// Now returns the current time. Pure code never calls it.
 	Now func() time.Time
-	// SuspendedFor tells for how long the host has been suspended since the process began.
+	// SuspendedFor returns for how long the host has been suspended since the process started.
 	SuspendedFor func() time.Duration
 }
 
-// NewDeps returns dependencies that log to l and count with m.
+// NewDeps returns dependencies that log to l and report metrics to m.
 func NewDeps(l *logrus.Logger, m metric.Meter) Deps {
 	return Deps{Logger: l, Meter: m, Now: time.Now, SuspendedFor: NewSuspensionTracker().Total}
 }
 
-// NopDeps returns dependencies that log and count nowhere.
+// NopDeps returns dependencies that discard logs and metrics.
 func NopDeps() Deps {
 	l := logrus.New()
 	l.SetLevel(logrus.PanicLevel)
 	return NewDeps(l, noop.NewMeterProvider().Meter("quiet"))
 }
 
-// Log writes lines that begin with the name of a part.
+// Log writes log lines that begin with the name of a part.
 type Log struct {
 	logger *logrus.Logger
 	prefix string
@@ -54,7 +54,7 @@
 	l.logger.Warnf(l.prefix+format, a...)
 }
 
-// Errorf logs what an operator has to look at.
+// Errorf logs what an operator must look at.
 func (l Log) Errorf(format string, a ...any) {
 	l.logger.Errorf(l.prefix+format, a...)
 }
--- a/common/doc.go
+++ b/common/doc.go
@@ -1,4 +1,4 @@
 // Package common holds what every part of amberway shares: the verdict on a
-// request, its class, the dependencies handed down at construction, logs with
-// a fixed prefix, rendezvous ranking and problem details.
+// request, its class, the dependencies passed to constructors, logs with a
+// fixed prefix, an HTTP client, rendezvous hashing and problem details.
 package common
--- a/common/example_test.go
+++ b/common/example_test.go
@@ -16,8 +16,8 @@
 func ExampleHeap() {
 	h := common.NewHeap(func(a, b string) bool { return a < b })
 	h.Push("b")
-	s := h.Push("a")
-	h.Remove(s)
+	e := h.Push("a")
+	h.Remove(e)
 	v, _ := h.Pop()
 	fmt.Println(v)
 	// Output:
--- a/common/heap.go
+++ b/common/heap.go
@@ -8,13 +8,13 @@
 	items heapItems[T]
 }
 
-// HeapEntry is the place of one item in a Heap.
+// HeapEntry holds one item of a Heap, and serves to remove it.
 type HeapEntry[T any] struct {
 	Value T
 	index int
 }
 
-// NewHeap returns an empty heap that puts the least item first.
+// NewHeap returns an empty heap whose first item is the least by less.
 func NewHeap[T any](less func(a, b T) bool) *Heap[T] {
 	return &Heap[T]{items: heapItems[T]{less: less}}
 }
@@ -24,14 +24,14 @@
 	return len(h.items.entries)
 }
 
-// Push adds an item and returns its slot.
+// Push adds an item and returns its entry.
 func (h *Heap[T]) Push(v T) *HeapEntry[T] {
-	s := &HeapEntry[T]{Value: v}
-	heap.Push(&h.items, s)
-	return s
+	e := &HeapEntry[T]{Value: v}
+	heap.Push(&h.items, e)
+	return e
 }
 
-// Peek returns the least item, or false where there is none.
+// Peek returns the least item, or false if the heap is empty.
 func (h *Heap[T]) Peek() (T, bool) {
 	if h.Len() == 0 {
 		var z T
@@ -40,22 +40,22 @@
 	return h.items.entries[0].Value, true
 }
 
-// Pop removes and returns the least item, or false where there is none.
+// Pop removes and returns the least item, or false if the heap is empty.
 func (h *Heap[T]) Pop() (T, bool) {
 	if h.Len() == 0 {
 		var z T
 		return z, false
 	}
-	s, _ := heap.Pop(&h.items).(*HeapEntry[T])
-	return s.Value, true
+	e, _ := heap.Pop(&h.items).(*HeapEntry[T])
+	return e.Value, true
 }
 
-// Remove takes the item of the slot out. It reports whether it was there.
-func (h *Heap[T]) Remove(s *HeapEntry[T]) bool {
-	if s.index < 0 {
+// Remove removes the entry's item. It reports whether the item was still in the heap.
+func (h *Heap[T]) Remove(e *HeapEntry[T]) bool {
+	if e.index < 0 {
 		return false
 	}
-	heap.Remove(&h.items, s.index)
+	heap.Remove(&h.items, e.index)
 	return true
 }
 
@@ -65,39 +65,39 @@
 	less    func(a, b T) bool
 }
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h *heapItems[T]) Len() int {
 	return len(h.entries)
 }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (h *heapItems[T]) Less(i, j int) bool {
 	return h.less(h.entries[i].Value, h.entries[j].Value)
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h *heapItems[T]) Swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
 	h.entries[i].index = i
 	h.entries[j].index = j
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *heapItems[T]) Push(x any) {
-	s, ok := x.(*HeapEntry[T])
+	e, ok := x.(*HeapEntry[T])
 	if !ok {
 		return
 	}
-	s.index = len(h.entries)
-	h.entries = append(h.entries, s)
+	e.index = len(h.entries)
+	h.entries = append(h.entries, e)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *heapItems[T]) Pop() any {
 	n := len(h.entries) - 1
-	s := h.entries[n]
+	e := h.entries[n]
 	h.entries[n] = nil
 	h.entries = h.entries[:n]
-	s.index = -1
-	return s
+	e.index = -1
+	return e
 }
--- a/common/instant.go
+++ b/common/instant.go
@@ -6,17 +6,17 @@
 )
 
 // Instant is a point in time that several goroutines share. It keeps the
-// monotonic clock's reading, so that steps of the time of day do not matter.
+// monotonic clock reading, so that steps of the wall clock do not matter.
 type Instant struct {
 	p atomic.Pointer[time.Time]
 }
 
-// Set notes the time.
+// Set sets the time.
 func (i *Instant) Set(t time.Time) {
 	i.p.Store(&t)
 }
 
-// Advance notes the time unless a later one was set.
+// Advance sets the time unless a later one was set.
 func (i *Instant) Advance(t time.Time) {
 	for {
 		o := i.p.Load()
--- a/common/caller.go
+++ b/common/plain_client.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// plainClient makes HTTP/1.1 calls, each whole in the goroutine of who asks for it. The
-// client of net/http hands each call to two goroutines of its connection, and the answer
-// back: of an owner's processor time under load, 64 % went into that, 296 to 373 us for
-// each start. BenchmarkCall says what one call takes either way.
+// plainClient makes unencrypted HTTP/1.1 calls, each entirely in the goroutine of its
+// caller. The client of net/http passes each call to two goroutines of its connection, and
+// the answer back: 64 % of an owner's CPU time under load went into that, 296 to 373 us for
+// each start. BenchmarkCall compares the two.
 type plainClient struct {
 	conns *Connections
 	pool  *pool
@@ -29,10 +29,10 @@
 	return &plainClient{conns: o, pool: newPool(l)}
 }
 
-// readBufferSize is the buffer of each connection, in bytes: most answers fit in it.
+// readBufferSize is the read buffer of each connection, in bytes: most answers fit in it.
 const readBufferSize = 2 << 10
 
-// acquireConn returns a kept connection or a new one, and begins the call on it.
+// acquireConn returns a pooled connection or a new one, and begins the call on it.
 func (c *plainClient) acquireConn(a *attempt) (*pooledConn, error) {
 	k := c.pool.take(a.address, time.Now())
 	reused := k != nil
@@ -47,11 +47,11 @@
 	return k, nil
 }
 
-// send sends the request and returns the answer once it has begun, with its connection.
-// That is closed as the context ends, so that what has not been carried out by then is not
-// carried out after it, if that can be helped; release ends this, and reports false where
-// the context has ended.
-func (c *plainClient) send(a *attempt) (on *pooledConn, answer *http.Response, release func() bool, err error) {
+// send sends the request and returns the answer once its head has arrived, with its
+// connection. The connection is closed when the context ends, so that a request that has
+// not been carried out by then is not carried out later, as far as this can be prevented.
+// release stops that, and reports false if the context has already ended.
+func (c *plainClient) send(a *attempt) (conn *pooledConn, answer *http.Response, release func() bool, err error) {
 	b := buffers.Get().(*bytes.Buffer) //nolint:forcetypeassert // the pool holds nothing else
 	defer buffers.Put(b)
 	b.Reset()
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	// It may run after this has returned: k is never set again.
+	// The function may run after send has returned, so k is not assigned again.
 	release = context.AfterFunc(a.ctx, func() { _ = k.Close() })
 	res, err := k.roundTrip(a, b.Bytes())
 	if err != nil {
@@ -73,7 +73,7 @@
 	return k, res, release, nil
 }
 
-// call makes the call, and keeps its connection where another may follow.
+// call makes the call, and puts its connection into the pool if it can be reused.
 func (c *plainClient) call(a *attempt) (Reply, error) {
 	k, res, release, err := c.send(a)
 	if err != nil {
@@ -95,16 +95,16 @@
 	return r, nil
 }
 
-// open makes the call until its answer has begun.
+// open sends the request and returns the answer once its head has arrived.
 func (c *plainClient) open(a *attempt) (*http.Response, error) {
 	_, res, _, err := c.send(a)
 	return res, err
 }
 
-// buffers hold requests until they are sent.
+// buffers hold encoded requests until they are sent.
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// plainAddress returns where a call goes that is not encrypted, or false for one that is.
+// plainAddress returns the address of an unencrypted call, or false for an encrypted one.
 func (q Request) plainAddress() (string, bool) {
 	if q.BaseURL == "" {
 		return q.Address.String(), true
@@ -112,7 +112,7 @@
 	return strings.CutPrefix(q.BaseURL, "http://")
 }
 
-// writeRequest writes the request as it goes over the connection.
+// writeRequest encodes the request.
 func (a *attempt) writeRequest(b *bytes.Buffer) error {
 	var body []byte
 	if a.Body != nil {
@@ -160,19 +160,19 @@
 	return k.readHead()
 }
 
-// readReply reads the answer. It reports whether its connection may carry another call.
+// readReply reads the rest of the answer. It reports whether its connection may be reused.
 func (a *attempt) readReply(res *http.Response) (Reply, bool, error) {
 	defer res.Body.Close()
-	most := cmp.Or(a.MaxReplyBytes, maxReply)
-	b, err := readBody(a.stallingBody(res.Body), res.ContentLength, most)
+	limit := cmp.Or(a.MaxReplyBytes, maxReply)
+	b, err := readBody(a.stallingBody(res.Body), res.ContentLength, limit)
 	if err != nil {
 		return Reply{}, false, err
 	}
-	whole := int64(len(b)) < most
+	whole := int64(len(b)) < limit
 	return Reply{Status: res.StatusCode, Header: res.Header, Body: b}, whole && !res.Close, nil
 }
 
-// readHead reads the head of the answer, and passes over those before it.
+// readHead reads the head of the answer, and skips informational (1xx) ones before it.
 func (k *pooledConn) readHead() (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(k.reader, nil)
@@ -182,10 +182,10 @@
 	}
 }
 
-// readBody reads the body, whose length may be known, up to the most bytes.
-func readBody(r io.Reader, length, most int64) ([]byte, error) {
-	if length < 0 || length > most {
-		return io.ReadAll(io.LimitReader(r, most))
+// readBody reads at most limit bytes of the body. A negative length is an unknown one.
+func readBody(r io.Reader, length, limit int64) ([]byte, error) {
+	if length < 0 || length > limit {
+		return io.ReadAll(io.LimitReader(r, limit))
 	}
 	b := make([]byte, length)
 	_, err := io.ReadFull(r, b)
--- a/common/pool.go
+++ b/common/pool.go
@@ -13,27 +13,28 @@
 	"time"
 )
 
-// maxRequestTransit is what a request may take to the other side on a kept connection.
+// maxRequestTransit is how long a request may take to reach the other side on a reused
+// connection.
 const maxRequestTransit = 500 * time.Millisecond
 
-// pooledConn is an open connection with what is read ahead of it.
+// pooledConn is an open connection with its read buffer.
 type pooledConn struct {
 	net.Conn
-	reader *bufio.Reader
-	// address is where it leads, idleUntil when it is closed unless it is used.
-	address   string
+	reader  *bufio.Reader
+	address string
+	// idleUntil is when the connection is closed unless it is used.
 	idleUntil time.Time
-	// element is its place among the idle ones.
+	// element is its place in the pool's list of idle connections.
 	element *list.Element
 }
 
-// pool keeps idle connections by address. Those that were used last are used next, so
-// that the others end.
+// pool holds idle connections by address. It reuses the most recently used first, so
+// that surplus ones time out.
 type pool struct {
 	Limits
 	mu        sync.Mutex
 	byAddress map[string][]*pooledConn
-	// idle are all of them, the one that was used last in front.
+	// idle lists all idle connections, the most recently used first.
 	idle *list.List
 }
 
@@ -41,8 +42,8 @@
 	return &pool{Limits: l, byAddress: map[string][]*pooledConn{}, idle: list.New()}
 }
 
-// take returns an idle connection to the address whose time has not passed and on which
-// nothing has come since, or nil.
+// take removes and returns an idle connection to the address that has not timed out and is
+// usable, or returns nil.
 func (p *pool) take(address string, now time.Time) *pooledConn {
 	for {
 		k := p.takeNewest(address)
@@ -53,7 +54,8 @@
 	}
 }
 
-// takeNewest takes the connection to the address that was used last, or returns nil.
+// takeNewest removes and returns the most recently used connection to the address, or
+// returns nil.
 func (p *pool) takeNewest(address string) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +68,7 @@
 	return k
 }
 
-// remove takes the connection off the lists.
+// remove removes the connection from the pool. The caller holds mu.
 func (p *pool) remove(k *pooledConn) {
 	p.idle.Remove(k.element)
 	l := slices.DeleteFunc(p.byAddress[k.address], func(o *pooledConn) bool { return o == k })
@@ -76,38 +78,40 @@
 	}
 }
 
-// put keeps the connection for a time, and closes those that are beyond the pool's limits
-// or their time.
-func (p *pool) put(k *pooledConn, now time.Time, idle time.Duration) {
-	for _, o := range p.insert(k, now, idle) {
+// put returns the connection to the pool for the time, and closes those that exceed the
+// pool's limits or have timed out.
+func (p *pool) put(k *pooledConn, now time.Time, timeout time.Duration) {
+	for _, o := range p.insert(k, now, timeout) {
 		_ = o.Close()
 	}
 }
 
-// insert returns the connections that are kept no more.
-func (p *pool) insert(k *pooledConn, now time.Time, idle time.Duration) []*pooledConn {
+// insert adds the connection and returns those to close: the ones evicted, or the
+// connection itself if there are enough to its address.
+func (p *pool) insert(k *pooledConn, now time.Time, timeout time.Duration) []*pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.byAddress[k.address]) >= max(1, p.MaxIdlePerAddress) {
 		return []*pooledConn{k}
 	}
-	k.idleUntil = now.Add(idle)
+	k.idleUntil = now.Add(timeout)
 	k.element = p.idle.PushFront(k)
 	p.byAddress[k.address] = append(p.byAddress[k.address], k)
-	var over []*pooledConn
+	var evicted []*pooledConn
 	for e := p.idle.Back(); e != nil; e = p.idle.Back() {
 		o, ok := e.Value.(*pooledConn)
 		if !ok || (now.Before(o.idleUntil) && (p.MaxIdle == 0 || p.idle.Len() <= p.MaxIdle)) {
 			break
 		}
 		p.remove(o)
-		over = append(over, o)
+		evicted = append(evicted, o)
 	}
-	return over
+	return evicted
 }
 
-// usable reports whether the connection is open and nothing has come on it: nobody reads
-// from an idle one, so that its end shows only to who looks.
+// usable reports whether the connection is open and has received nothing since its last
+// answer. Nobody reads from an idle connection, so this check is what finds that the
+// other side has closed it.
 func (k *pooledConn) usable() bool {
 	if k.reader.Buffered() > 0 {
 		return false
@@ -126,19 +130,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		quiet = err == syscall.EAGAIN
+		usable = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// reuseTimeout returns for how long a connection may be used again after an answer with the
-// headers, which may tell when the other side closes it (RFC 2068, section 19.7.1.1). A
-// request has to arrive before that.
+// reuseTimeout returns for how long a connection may be reused after an answer with the
+// headers. They may say when the other side closes it (RFC 2068, section 19.7.1.1), and a
+// request must arrive before that.
 func reuseTimeout(h http.Header) time.Duration {
 	for p := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(p), "=")
--- a/common/pool_test.go
+++ b/common/pool_test.go
@@ -13,7 +13,8 @@
 )
 
 // TestConnectionIsNotUsedWhenItsServerMayCloseIt guards against a call that is lost on a
-// kept connection which the other side, as it had said, closes in that moment.
+// reused connection because the server closes it at that moment, as its Keep-Alive header
+// had announced.
 func TestConnectionIsNotUsedWhenItsServerMayCloseIt(t *testing.T) {
 	var opened atomic.Int64
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -26,11 +27,11 @@
 	}
 	s.Start()
 	defer s.Close()
-	x := NewHTTPClient(Limits{MaxIdlePerAddress: 1})
+	client := NewHTTPClient(Limits{MaxIdlePerAddress: 1})
 	q := Request{Method: http.MethodPost, Address: netip.MustParseAddrPort(s.Listener.Addr().String()), Path: "/"}
 	for _, pause := range []time.Duration{0, 0, maxRequestTransit + 200*time.Millisecond} {
 		time.Sleep(pause)
-		_, err := x.Call(t.Context(), q)
+		_, err := client.Call(t.Context(), q)
 		require.NoError(t, err)
 	}
 	require.Equal(t, int64(2), opened.Load())
--- a/common/problem.go
+++ b/common/problem.go
@@ -14,32 +14,32 @@
 	HeaderVerdict = "Amberway-Verdict"
 	// HeaderClass carries the Class a caller asks for.
 	HeaderClass = "Amberway-Class"
-	// HeaderRepeatable carries "false" where a request may not be repeated.
+	// HeaderRepeatable carries "false" if a request may not be repeated.
 	HeaderRepeatable = "Amberway-Repeatable"
-	// HeaderDeadline carries the point in time, as RFC 3339, after which the
-	// caller has no use for the answer.
+	// HeaderDeadline carries the time, as RFC 3339, after which the caller has no use
+	// for the answer.
 	HeaderDeadline = "Amberway-Deadline"
 	// HeaderRequestID carries the id of the request to the target and back.
 	HeaderRequestID = "Amberway-Request-Id"
-	// HeaderHop marks a request that another data centre has passed on.
+	// HeaderHop marks a request that another data centre has forwarded.
 	HeaderHop = "Amberway-Hop"
-	// HeaderIdempotencyKey carries the caller's id of a request, by the convention of the
-	// IETF draft on idempotency keys.
+	// HeaderIdempotencyKey carries the caller's id of a request, as in the IETF draft on
+	// idempotency keys.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// ProblemError is an RFC 9457 problem with the verdict on the request.
+// ProblemError is a problem as of RFC 9457, with the verdict on the request.
 type ProblemError struct {
 	Type    string  `json:"type"`
 	Title   string  `json:"title"`
 	Status  int     `json:"status"`
 	Detail  string  `json:"detail,omitempty"`
 	Verdict Verdict `json:"-"`
-	// RetryAt is when to come back; zero where coming back does not help.
+	// RetryAt is when to retry; zero if retrying does not help.
 	RetryAt time.Time `json:"-"`
 }
 
-// Error returns title and detail.
+// Error returns the title and the detail.
 func (p *ProblemError) Error() string {
 	if p.Detail == "" {
 		return p.Title
@@ -47,7 +47,7 @@
 	return p.Title + ": " + p.Detail
 }
 
-// Write sends the problem as the whole answer.
+// Write writes the problem as the whole answer.
 func (p *ProblemError) Write(w http.ResponseWriter, now time.Time) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -62,7 +62,7 @@
 	}{p, p.Verdict.String()})
 }
 
-// retryAfter returns whole seconds, at least one, as RFC 9110 has it.
+// retryAfter returns the value of Retry-After in whole seconds (RFC 9110), at least one.
 func retryAfter(at, now time.Time) string {
 	s := math.Ceil(at.Sub(now).Seconds())
 	return strconv.Itoa(int(max(1, s)))
--- a/common/rendezvous.go
+++ b/common/rendezvous.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders the names by their rendezvous score for the key, highest first.
-// A name that leaves changes the place of no other pair of names.
+// Rank returns the names by their rendezvous score for the key, highest first.
+// Removing a name does not change the order of the others.
 func Rank(key string, names []string) []string {
 	r := slices.Clone(names)
 	s := make(map[string]uint64, len(names))
@@ -24,8 +24,8 @@
 	return r
 }
 
-// RankFirst returns the name with the highest rendezvous score for the key, and
-// the empty string where there are no names.
+// RankFirst returns the name with the highest rendezvous score for the key, or the empty
+// string if there are no names.
 func RankFirst(key string, names []string) string {
 	best := ""
 	top := uint64(0)
--- a/common/silence_test.go
+++ b/common/silence_test.go
@@ -15,8 +15,8 @@
 	"amberway/internal/standin/proxy"
 )
 
-// silentFixture is an exchange with kept connections to a server that has more than
-// one call under way at a time.
+// silentFixture is a client with idle connections to a server, through a proxy that can
+// silence them.
 type silentFixture struct {
 	*proxy.Proxy
 	client HTTPClient
@@ -77,7 +77,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := f.client.CallIdempotent(ctx, f.request("/"), f.request("/"))
-		require.NoError(t, err, "a call that may be repeated is answered on a new connection in its time")
+		require.NoError(t, err, "an idempotent call is answered on a new connection before its deadline")
 		for range 8 {
 			ctx, cancel := context.WithTimeout(t.Context(), 250*time.Millisecond)
 			_, err := f.client.Call(ctx, f.request("/"))
@@ -113,7 +113,7 @@
 	_, err := f.client.Call(ctx, q)
 	require.ErrorIs(t, err, ErrSilent)
 	_, err = f.client.Call(ctx, q)
-	require.NoError(t, err, "the same time is enough for a second call")
+	require.NoError(t, err, "the deadline leaves enough time for a second call")
 }
 
 func TestWaitingCallsBesideASilentOneAreRepeatedAtOnce(t *testing.T) {
@@ -166,19 +166,19 @@
 	opened := f.Opened()
 	_, err := f.client.Call(t.Context(), f.request("/"))
 	require.NoError(t, err)
-	require.Equal(t, opened, f.Opened(), "what has answered since is trusted")
+	require.Equal(t, opened, f.Opened(), "connections that have answered since are trusted")
 }
 
 func TestNewConnectionWithoutAnAnswerIsNotSilent(t *testing.T) {
 	f := newSilentFixture(t, 1)
-	x := NewHTTPClient(Limits{MaxIdlePerAddress: 1, MaxIdle: 1})
+	client := NewHTTPClient(Limits{MaxIdlePerAddress: 1, MaxIdle: 1})
 	ctx, cancel := context.WithTimeout(t.Context(), 600*time.Millisecond)
 	defer cancel()
 	f.calls.Store(0)
-	_, err := x.CallIdempotent(ctx, f.request("/never"), f.request("/never"))
+	_, err := client.CallIdempotent(ctx, f.request("/never"), f.request("/never"))
 	require.ErrorIs(t, err, ErrUnknownOutcome)
 	require.NotErrorIs(t, err, ErrSilent)
-	require.Equal(t, int64(1), f.calls.Load(), "a service that does not answer is not asked twice")
+	require.Equal(t, int64(1), f.calls.Load(), "a server that does not answer is not called twice")
 }
 
 func TestStreamEndsWhenACallFindsSilence(t *testing.T) {
@@ -187,17 +187,17 @@
 	require.NoError(t, err)
 	defer s.Close()
 	require.Equal(t, 2, f.Silence(proxy.AnswersOnly))
-	broke := make(chan error, 1)
+	ended := make(chan error, 1)
 	go func() {
 		_, err := s.Read(make([]byte, 1))
-		broke <- err
+		ended <- err
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err = f.client.CallIdempotent(ctx, f.request("/"), f.request("/"))
 	require.NoError(t, err)
 	select {
-	case err := <-broke:
+	case err := <-ended:
 		require.ErrorIs(t, err, ErrUnknownOutcome)
 	case <-time.After(time.Second):
 		t.Fatal("the stream stays on a connection that is no newer than the silent one")
@@ -222,14 +222,14 @@
 func TestCallResolvedByCallerIsAbandonedBesideSilentOne(t *testing.T) {
 	f := newSilentFixture(t, 2)
 	f.Silence(proxy.Both)
-	settled := make(chan error, 1)
+	abandoned := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		q := f.request("/")
 		q.CallerResolves = true
 		_, err := f.client.Call(ctx, q)
-		settled <- err
+		abandoned <- err
 	}()
 	time.Sleep(50 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -237,15 +237,15 @@
 	_, err := f.client.CallIdempotent(ctx, f.request("/"), f.request("/"))
 	require.NoError(t, err)
 	select {
-	case err := <-settled:
+	case err := <-abandoned:
 		require.ErrorIs(t, err, ErrSilent)
 	case <-time.After(time.Second):
 		t.Fatal("the call stays on a connection that is no newer than the silent one")
 	}
 }
 
-// newSilentServices are three services, each with kept connections of a client of its
-// own, which are silent.
+// newSilentServices returns three services, each with a client of its own whose idle
+// connections are silent. The connections of the clients are joined.
 func newSilentServices(t *testing.T) []*silentFixture {
 	var l []*silentFixture
 	var o []*Connections
@@ -274,7 +274,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 250*time.Millisecond)
 	defer cancel()
 	_, err := l[2].client.Call(ctx, l[2].request("/"))
-	require.NoError(t, err, "a call that may have run meets no silence")
+	require.NoError(t, err, "a call that is not repeated meets no silent connection")
 }
 
 func TestOneSilentAddressClosesNoOthers(t *testing.T) {
--- a/common/stream.go
+++ b/common/stream.go
@@ -10,19 +10,19 @@
 	"net/http"
 )
 
-// Stream is an answer that goes on for as long as its connection stands.
+// Stream is an answer that goes on until its connection or its context ends.
 type Stream struct {
 	Status  int
 	body    io.ReadCloser
 	attempt *attempt
 }
 
-// Stream sends one request and returns the answer once it has begun. The answer
-// breaks off when a call to the same address shows that its connection may have gone
-// silent. A stream has to be closed.
-func (x HTTPClient) Stream(ctx context.Context, q Request) (*Stream, error) {
-	a := newStream(ctx, x.conns, q)
-	res, err := x.open(a) //nolint:bodyclose // the Stream closes it
+// Stream sends one request and returns the answer once its head has arrived. Reading
+// fails once a call to the same address finds that the connection may be silent. The
+// stream must be closed.
+func (h HTTPClient) Stream(ctx context.Context, q Request) (*Stream, error) {
+	a := newStream(ctx, h.conns, q)
+	res, err := h.open(a) //nolint:bodyclose // the Stream closes it
 	if err != nil {
 		defer a.end()
 		return nil, a.wrapError(err)
@@ -30,19 +30,19 @@
 	return &Stream{Status: res.StatusCode, body: res.Body, attempt: a}, nil
 }
 
-// open sends the request and returns the answer once it has begun.
-func (x HTTPClient) open(a *attempt) (*http.Response, error) {
+// open sends the request and returns the answer once its head has arrived.
+func (h HTTPClient) open(a *attempt) (*http.Response, error) {
 	if a.plain {
-		return x.plain.open(a)
+		return h.plain.open(a)
 	}
 	req, err := a.httpRequest(a.tracedContext())
 	if err != nil {
 		return nil, err
 	}
-	return x.encrypted.Do(req)
+	return h.encrypted.Do(req)
 }
 
-// Read reads from the answer.
+// Read implements io.Reader.
 func (s *Stream) Read(b []byte) (int, error) {
 	n, err := s.body.Read(b)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -74,7 +74,7 @@
 	for k, v := range q.Header {
 		r.Header[k] = v
 	}
-	// Each call would name the HTTP client, thirty bytes that nobody reads.
+	// Suppresses the default User-Agent: thirty bytes in each call that nobody reads.
 	r.Header.Set("User-Agent", "")
 	if q.Body != nil {
 		r.Header.Set("Content-Type", "application/json")
--- a/common/suspension.go
+++ b/common/suspension.go
@@ -7,39 +7,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspensionThreshold is by how much the time of day has to run ahead of the steady clock, or
-// behind, until the system is asked whether the host was suspended. The question takes two
-// calls of the system, and an owner would ask some hundred times a second.
+// suspensionThreshold is how far the wall clock must drift from the monotonic clock, in
+// either direction, before the tracker asks the kernel whether the host was suspended. That
+// takes two system calls, and an owner would make them some hundred times a second.
 const suspensionThreshold = 50 * time.Millisecond
 
-// SuspensionTracker tells for how long the host has been suspended. The steady clock that Go
-// measures by stands still meanwhile, so that leases and deadlines seem to be as good as
-// before.
+// SuspensionTracker measures for how long the host was suspended. Go's monotonic clock
+// stops meanwhile, so leases and deadlines seem to be valid for as long as before.
 type SuspensionTracker struct {
-	// drift is by how much the time of day has run ahead of the steady clock, which a
-	// step of the time of day changes as well; counted is what the system has counted of
-	// suspensions since it started.
-	drift, systemTotal func() time.Duration
-	// systemTotalAtStart is what it had counted when the Suspension began, seen the drift when it was
-	// last asked, and total its answer.
+	// drift returns how far the wall clock is ahead of the monotonic clock since the
+	// start; a step of the wall clock changes it as well.
+	drift func() time.Duration
+	// systemTotal returns for how long the host was suspended since it booted.
+	systemTotal func() time.Duration
+	// systemTotalAtStart is what systemTotal returned when the tracker was created.
 	systemTotalAtStart time.Duration
-	lastDrift, total   atomic.Int64
+	// lastDrift is the drift when systemTotal was last called, total the suspension since
+	// the start by that call.
+	lastDrift, total atomic.Int64
 }
 
-// NewSuspensionTracker returns a Suspension that begins now.
+// NewSuspensionTracker returns a tracker that starts now.
 func NewSuspensionTracker() *SuspensionTracker {
-	begun := time.Now()
+	start := time.Now()
 	return newSuspensionTracker(func() time.Duration {
 		n := time.Now()
-		return n.Round(0).Sub(begun.Round(0)) - n.Sub(begun)
+		return n.Round(0).Sub(start.Round(0)) - n.Sub(start)
 	}, systemSuspension)
 }
 
-func newSuspensionTracker(drift, counted func() time.Duration) *SuspensionTracker {
-	return &SuspensionTracker{drift: drift, systemTotal: counted, systemTotalAtStart: counted()}
+func newSuspensionTracker(drift, systemTotal func() time.Duration) *SuspensionTracker {
+	return &SuspensionTracker{drift: drift, systemTotal: systemTotal, systemTotalAtStart: systemTotal()}
 }
 
-// Total returns how long the host has been suspended since the Suspension began.
+// Total returns for how long the host was suspended since the tracker was created.
 func (s *SuspensionTracker) Total() time.Duration {
 	d := s.drift()
 	if (d - time.Duration(s.lastDrift.Load())).Abs() > suspensionThreshold {
@@ -49,12 +50,12 @@
 	return time.Duration(s.total.Load())
 }
 
-// systemSuspension returns by how much the clock that counts suspensions is ahead of the
-// one that does not; nothing where the system has no such clocks.
+// systemSuspension returns how far the clock that includes suspensions is ahead of the
+// one that does not, or zero if the system lacks these clocks.
 func systemSuspension() time.Duration {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
--- a/common/suspension_test.go
+++ b/common/suspension_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hostClocks are what a Suspension reads of its host's clocks.
+// hostClocks are the clocks of a host as a SuspensionTracker reads them.
 type hostClocks struct {
 	drift, systemTotal time.Duration
 	reads              int
@@ -32,7 +32,8 @@
 	require.Equal(t, 6*time.Second, s.Total())
 }
 
-// A step of the time of day looks the same until the system is asked, which is done once.
+// A step of the wall clock looks like a suspension until the kernel is asked, which is done
+// once only.
 func TestClockStepIsNoSuspension(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second} {
 		h, s := newHostClocks()
--- a/common/traffic.go
+++ b/common/traffic.go
@@ -6,21 +6,21 @@
 	"sync"
 )
 
-// TrafficCount is what calls of one kind have put on the link, headers included. What TCP
-// and IP add is not counted.
+// TrafficCount counts the calls of one kind and their bytes, headers included. What TCP and
+// IP add is not counted.
 type TrafficCount struct {
-	// Calls counts the calls, Sent and Received their bytes.
+	// Sent and Received are in bytes.
 	Calls, Sent, Received int64
 }
 
-// Traffic counts what calls carry, by kind: the first part of a call's path, of which
-// there are few.
+// Traffic counts calls and their bytes by kind. The kind is the first segment of a call's
+// path, of which there are few.
 type Traffic struct {
 	mu    sync.Mutex
 	kinds map[string]TrafficCount
 }
 
-// Counts returns what has been carried so far, by kind.
+// Counts returns the counts so far, by kind.
 func (t *Traffic) Counts() map[string]TrafficCount {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,7 +40,7 @@
 	t.kinds[kind] = c
 }
 
-// callKind returns the first part of a path.
+// callKind returns the first segment of a path.
 func callKind(path string) string {
 	k := strings.TrimPrefix(path, "/")
 	if i := strings.IndexAny(k, "/?"); i >= 0 {
--- a/common/verdict.go
+++ b/common/verdict.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Verdict says whether a request may have run on a target. It speaks of the
-// request with its id, never of one attempt only.
+// Verdict says whether a request may have run on a target. It applies to the request
+// with its id, never to one attempt only.
 type Verdict int
 
 const (
-	// MayHaveRun is the zero value: nothing is known that rules a run out.
+	// MayHaveRun is the zero value: nothing rules out that the request has run.
 	MayHaveRun Verdict = iota
-	// NotRun is said only where no target has run the request and no copy of
-	// it can run later under the same id.
+	// NotRun is given only if no target has run the request and no copy of it can run
+	// later under the same id.
 	NotRun
-	// Ran is said with the whole answer of the target.
+	// Ran is given with the whole answer of the target.
 	Ran
 )
 
@@ -30,8 +30,7 @@
 	return verdictNames[MayHaveRun]
 }
 
-// ParseVerdict returns the verdict with the given name, or an error that names
-// the value that is none.
+// ParseVerdict returns the verdict with the given name, or an error for any other name.
 func ParseVerdict(s string) (Verdict, error) {
 	for v, n := range verdictNames {
 		if n == s {
