--- a/common/attempt.go
+++ b/common/attempt.go
@@ -71,11 +71,11 @@
 func (a *attempt) gotConn(i httptrace.GotConnInfo) {
 	a.stopTimer()
 	a.connectedAt, a.reused = time.Now(), i.Reused
-	var abandon func()
+	var onDistrust func()
 	if a.streaming || (i.Reused && a.failsEarly()) {
-		abandon = func() { a.cancel(errDistrusted) }
+		onDistrust = func() { a.cancel(errDistrusted) }
 	}
-	a.conns.Begin(&a.InFlightCall, i.Conn, abandon)
+	a.conns.Begin(&a.InFlightCall, i.Conn, onDistrust)
 	deadline, bounded := a.ctx.Deadline()
 	timeout := a.reusedTimeout(deadline.Sub(a.connectedAt))
 	if !i.Reused && a.StallTimeout > 0 {
--- a/common/connections.go
+++ b/common/connections.go
@@ -124,10 +124,10 @@
 }
 
 // Begin records that the call is in flight on the connection, and no longer on an
-// earlier one. n was opened by Dial, or is a TLS connection over one that was. abandon
+// earlier one. n was opened by Dial, or is a TLS connection over one that was. onDistrust
 // is called once the connection is no longer trusted; it is nil for a call that must
 // not be ended so.
-func (o *Connections) Begin(u *InFlightCall, n net.Conn, abandon func()) {
+func (o *Connections) Begin(u *InFlightCall, n net.Conn, onDistrust func()) {
 	c, ok := n.(*connection)
 	if t, wraps := n.(interface{ NetConn() net.Conn }); !ok && wraps {
 		c, ok = t.NetConn().(*connection)
@@ -138,7 +138,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	u.detach()
-	u.conn, u.abandon = c, abandon
+	u.conn, u.abandon = c, onDistrust
 	u.sentBefore, u.receivedBefore = c.sent.Load(), c.received.Load()
 	c.calls[u] = true
 }
--- a/common/pause_detector.go
+++ b/common/pause_detector.go
@@ -36,12 +36,12 @@
 	return p
 }
 
-// Run records heartbeats until the context ends. After a pause it calls reload until that
-// returns nil, which ends the recovery.
-func (p *PauseDetector) Run(ctx context.Context, reload func(context.Context) error) {
+// Run records heartbeats until the context ends. After a pause it calls reloadState until
+// that returns nil, which ends the recovery.
+func (p *PauseDetector) Run(ctx context.Context, reloadState func(context.Context) error) {
 	for ctx.Err() == nil {
 		if p.Heartbeat(p.now()) {
-			go p.reload(ctx, reload)
+			go p.reload(ctx, reloadState)
 		}
 		Sleep(ctx, heartbeatInterval)
 	}
@@ -57,9 +57,9 @@
 	return paused
 }
 
-func (p *PauseDetector) reload(ctx context.Context, reload func(context.Context) error) {
+func (p *PauseDetector) reload(ctx context.Context, reloadState func(context.Context) error) {
 	for ctx.Err() == nil && p.Recovering(p.now()) {
-		if reload(ctx) == nil {
+		if reloadState(ctx) == nil {
 			p.recoveredBy.Store(0)
 			return
 		}
--- a/common/pool.go
+++ b/common/pool.go
@@ -78,23 +78,23 @@
 	}
 }
 
-// put returns the connection to the pool for the time, and closes those that exceed the
-// pool's limits or have timed out.
-func (p *pool) put(k *pooledConn, now time.Time, timeout time.Duration) {
-	for _, o := range p.insert(k, now, timeout) {
+// put returns the connection to the pool, where it may be idle for the given time, and
+// closes those that exceed the pool's limits or have timed out.
+func (p *pool) put(k *pooledConn, now time.Time, idle time.Duration) {
+	for _, o := range p.insert(k, now, idle) {
 		_ = o.Close()
 	}
 }
 
 // insert adds the connection and returns those to close: the ones evicted, or the
 // connection itself if there are enough to its address.
-func (p *pool) insert(k *pooledConn, now time.Time, timeout time.Duration) []*pooledConn {
+func (p *pool) insert(k *pooledConn, now time.Time, idle time.Duration) []*pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.byAddress[k.address]) >= max(1, p.MaxIdlePerAddress) {
 		return []*pooledConn{k}
 	}
-	k.idleUntil = now.Add(timeout)
+	k.idleUntil = now.Add(idle)
 	k.element = p.idle.PushFront(k)
 	p.byAddress[k.address] = append(p.byAddress[k.address], k)
 	var evicted []*pooledConn
@@ -130,14 +130,14 @@
 	if err != nil {
 		return false
 	}
-	usable := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		usable = err == syscall.EAGAIN
+		open = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && usable
+	return err == nil && open
 }
 
 // reuseTimeout returns for how long a connection may be reused after an answer with the
--- a/common/suspension.go
+++ b/common/suspension.go
@@ -16,10 +16,9 @@
 // stops meanwhile, so leases and deadlines seem to be valid for as long as before.
 type SuspensionTracker struct {
 	// drift returns how far the wall clock is ahead of the monotonic clock since the
-	// start; a step of the wall clock changes it as well.
-	drift func() time.Duration
-	// systemTotal returns for how long the host was suspended since it booted.
-	systemTotal func() time.Duration
+	// start; a step of the wall clock changes it as well. systemTotal returns for how long
+	// the host was suspended since it booted.
+	drift, systemTotal func() time.Duration
 	// systemTotalAtStart is what systemTotal returned when the tracker was created.
 	systemTotalAtStart time.Duration
 	// lastDrift is the drift when systemTotal was last called, total the suspension since
@@ -36,8 +35,8 @@
 	}, systemSuspension)
 }
 
-func newSuspensionTracker(drift, systemTotal func() time.Duration) *SuspensionTracker {
-	return &SuspensionTracker{drift: drift, systemTotal: systemTotal, systemTotalAtStart: systemTotal()}
+func newSuspensionTracker(drift, system func() time.Duration) *SuspensionTracker {
+	return &SuspensionTracker{drift: drift, systemTotal: system, systemTotalAtStart: system()}
 }
 
 // Total returns for how long the host was suspended since the tracker was created.
