--- a/admin/api.go
+++ b/admin/api.go
@@ -15,19 +15,18 @@
 	Version    string `json:"version"`
 	Ready      bool   `json:"ready"`
 	Generation int64  `json:"generation"`
-	// ConfirmedAt is when the platform last told its configuration.
+	// ConfirmedAt is when the platform last confirmed the configuration.
 	ConfirmedAt time.Time `json:"confirmed_at,omitzero"`
-	// ListAsOf is the age of the host list.
+	// ListAsOf is the time as of which the host list is current.
 	ListAsOf time.Time `json:"list_as_of,omitzero"`
 	// JobMoves counts the jobs moved in the data centre so far.
 	JobMoves int64          `json:"job_moves"`
 	Members  []peers.Member `json:"members"`
-	// Generations gives the generation in force on each live entry host that
-	// answered.
+	// Generations is the generation in force on each live entry host that answered.
 	Generations map[string]int64 `json:"generations"`
 }
 
-// ApplyResult answers the application of a document.
+// ApplyResult is the answer to a change of the configuration.
 type ApplyResult struct {
 	Generation int64 `json:"generation"`
 }
@@ -53,7 +52,7 @@
 	Rack    string `json:"rack"`
 	Live    bool   `json:"live"`
 	Leaving bool   `json:"leaving"`
-	// Blocked says why its drain waits.
+	// Blocked is why its drain waits.
 	Blocked string `json:"blocked,omitempty"`
 }
 
@@ -62,34 +61,36 @@
 type Job struct {
 	Service string `json:"service"`
 	config.Job
-	// Hosts are those that hold it; none are named where all of the pool do.
+	// Hosts are the hosts that it is placed on; empty if it may run on all of its pool.
 	Hosts []string `json:"hosts"`
-	// Unplaced says why it lacks replicas.
+	// Unplaced is why it lacks replicas.
 	Unplaced string `json:"unplaced,omitempty"`
 }
 
-// Wave is how far one wave is in the data centre of the entry host that was
-// asked.
+// Wave is the progress of one wave in the data centre of the entry host that was asked.
 type Wave struct {
 	config.Wave
 	Hosts       int      `json:"hosts"`
 	Done        int      `json:"done"`
 	Maintenance []string `json:"maintenance"`
-	Overdue     []string `json:"away"`
+	// Overdue lists the hosts that have not returned from their reboot in time.
+	Overdue []string `json:"away"`
 }
 
-// Change asks for a host to be held or a wave to be set to a state.
+// Change is the body of a request that drains or releases a host, or that sets the state
+// of a wave.
 type Change struct {
 	Held  bool             `json:"held"`
 	State config.WaveState `json:"state"`
 }
 
-// Failure is the body of every answer that is an error.
+// Failure is the body of every error answer.
 type Failure struct {
 	Error string `json:"error"`
-	// Violations are what is wrong with a document.
+	// Violations lists what is wrong with a document.
 	Violations config.ValidationError `json:"faults,omitempty"`
-	// Current and Changed tell what a stale base missed.
+	// Current is set if the base of a change is stale: it is the generation in force.
+	// Changed names the sections in which that differs from the change.
 	Current int64    `json:"current,omitempty"`
 	Changed []string `json:"changed,omitempty"`
 }
--- a/admin/client.go
+++ b/admin/client.go
@@ -17,33 +17,33 @@
 	"amberway/fleet"
 )
 
-// clientTimeout bounds one call.
+// clientTimeout bounds one call of a Client.
 const clientTimeout = 30 * time.Second
 
-// APIError is an error that the entry host answered with.
+// APIError is an error answer of an entry host.
 type APIError struct {
 	Status int
 	Failure
 }
 
-// Error returns the entry host's words.
+// Error returns the message of the entry host.
 func (e *APIError) Error() string {
 	return e.Failure.Error
 }
 
-// Client calls the operators' interface of one entry host.
+// Client calls the operators' API of one entry host.
 type Client struct {
 	base   string
 	token  string
 	client *http.Client
 }
 
-// NewClient returns a client of the entry host at the URL.
+// NewClient returns a client for the entry host at the URL.
 func NewClient(base *url.URL, token string) *Client {
 	return &Client{base: base.String(), token: token, client: &http.Client{Timeout: clientTimeout}}
 }
 
-// call sends body, if any, and decodes the answer into v.
+// call sends a request with the body, if any, and decodes the answer into v.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, v any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return e
 }
 
-// get sends body, if any, and returns the decoded answer.
+// get sends a request with the body, if any, and returns the decoded answer.
 func get[T any](ctx context.Context, c *Client, method, path string, body []byte) (T, error) {
 	var v T
 	err := c.call(ctx, method, path, body, &v)
@@ -97,12 +97,13 @@
 	return get[ApplyResult](ctx, c, http.MethodPut, "/v1/config?base="+strconv.FormatInt(base, 10), document)
 }
 
-// Preview returns what a document comes to in the entry host's data centre.
+// Preview returns the effects that applying a document would have in the entry host's data
+// centre.
 func (c *Client) Preview(ctx context.Context, document []byte) (fleet.Preview, error) {
 	return get[fleet.Preview](ctx, c, http.MethodPost, "/v1/config/preview", document)
 }
 
-// Jobs returns the jobs and where they are in the entry host's data centre.
+// Jobs returns the jobs and their placement in the entry host's data centre.
 func (c *Client) Jobs(ctx context.Context) ([]Job, error) {
 	return get[[]Job](ctx, c, http.MethodGet, "/v1/jobs", nil)
 }
@@ -117,7 +118,7 @@
 	return get[[]Host](ctx, c, http.MethodGet, "/v1/hosts", nil)
 }
 
-// Hold has a host drained and kept so, or lets it back.
+// Hold drains a host and keeps it drained, or releases it.
 func (c *Client) Hold(ctx context.Context, name string, held bool) error {
 	b, err := json.Marshal(Change{Held: held})
 	if err != nil {
@@ -126,7 +127,7 @@
 	return c.call(ctx, http.MethodPost, "/v1/hosts/"+url.PathEscape(name), b, &struct{}{})
 }
 
-// Waves returns how far each wave is in the entry host's data centre.
+// Waves returns the progress of each wave in the entry host's data centre.
 func (c *Client) Waves(ctx context.Context) ([]Wave, error) {
 	return get[[]Wave](ctx, c, http.MethodGet, "/v1/waves", nil)
 }
--- a/admin/doc.go
+++ b/admin/doc.go
@@ -1,4 +1,3 @@
-// Package admin is the operators' interface: HTTP with JSON on a listener of
-// its own, behind bearer tokens, and the client that the command-line tool
-// uses.
+// Package admin implements the operators' API, which is JSON over HTTP on a listener of
+// its own and needs a bearer token, and the client that the command-line tool uses.
 package admin
--- a/admin/documents.go
+++ b/admin/documents.go
@@ -23,14 +23,15 @@
 		return nil, err
 	}
 	d, err := config.Parse(b)
-	var faults config.ValidationError
-	if err != nil && !errors.As(err, &faults) {
+	var invalid config.ValidationError
+	if err != nil && !errors.As(err, &invalid) {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	return d, err
 }
 
-// previewConfig returns what a document comes to here before it is applied.
+// previewConfig returns the effects that applying a document would have in this data
+// centre.
 func (s *Server) previewConfig(r *http.Request) (any, error) {
 	d, err := s.parseDocument(r)
 	if err != nil {
@@ -40,7 +41,7 @@
 	return fleet.PreviewOf(s.planInput(c, d, s.Follower.Current().Head.Generation+1)), nil
 }
 
-// planInput is what a plan of this data centre is made from.
+// planInput returns the input of a plan for this data centre.
 func (s *Server) planInput(c *fleet.Snapshot, d *config.Document, gen int64) fleet.Input {
 	return fleet.Input{
 		Now: s.now(), Document: d, Generation: gen, DataCentre: s.DataCentre, Record: c.Record, List: c.List,
--- a/admin/fleet.go
+++ b/admin/fleet.go
@@ -24,8 +24,8 @@
 
 func (s *Server) hosts(*http.Request) (any, error) {
 	c := s.View.Current()
-	// What a plan made here would come to tells what each host waits for, also
-	// where another entry host is the coordinator.
+	// A plan made here shows what each host waits for, even if another entry host is the
+	// coordinator.
 	g := s.Follower.Current()
 	blocked := fleet.Plan(s.planInput(c, g.Document, g.Head.Generation)).Blocked
 	l := []Host{}
@@ -68,8 +68,7 @@
 	return l, nil
 }
 
-// changeWave publishes the configuration in force with one wave's state
-// changed.
+// changeWave publishes the configuration in force with the state of one wave changed.
 func (s *Server) changeWave(r *http.Request) (any, error) {
 	c, err := decodeChange(r)
 	if err != nil {
--- a/admin/server.go
+++ b/admin/server.go
@@ -17,10 +17,10 @@
 	"amberway/peers"
 )
 
-// maxDocumentBytes is the largest document taken, in bytes.
+// maxDocumentBytes is the largest size of a document, in bytes.
 const maxDocumentBytes = 4 << 20
 
-// ServerOptions are what a Server is made of.
+// ServerOptions are the dependencies and settings of a Server.
 type ServerOptions struct {
 	Name        string
 	DataCentre  string
@@ -32,13 +32,13 @@
 	Coordinator *fleet.Coordinator
 	Members     *peers.Service
 	Ready       func() bool
-	// Dump returns the state of every part.
+	// Dump returns the state of all parts.
 	Dump func() any
-	// Metrics serves the metrics, which need no token.
+	// Metrics serves the metrics. It needs no token.
 	Metrics http.Handler
 }
 
-// Server is the operators' interface.
+// Server serves the operators' API.
 type Server struct {
 	ServerOptions
 	log common.Log
@@ -46,10 +46,10 @@
 	mux *http.ServeMux
 }
 
-// New returns the operators' interface.
-func New(d common.Deps, p ServerOptions) *Server {
-	s := &Server{ServerOptions: p, log: d.Log("admin"), now: d.Now, mux: http.NewServeMux()}
-	s.mux.Handle("GET /metrics", p.Metrics)
+// New returns a server with all its routes.
+func New(d common.Deps, o ServerOptions) *Server {
+	s := &Server{ServerOptions: o, log: d.Log("admin"), now: d.Now, mux: http.NewServeMux()}
+	s.mux.Handle("GET /metrics", o.Metrics)
 	s.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "alive") })
 	s.mux.HandleFunc("GET /readyz", s.readyz)
 	s.handle("GET /v1/status", s.status)
@@ -66,15 +66,15 @@
 	return s
 }
 
-// ServeHTTP answers one operator's request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
 
-// handler returns the body of its answer, or an error.
+// handler handles a request and returns the body of the answer, or an error.
 type handler func(r *http.Request) (any, error)
 
-// handle serves the pattern to those who show a token.
+// handle registers a handler that requires an operator's token.
 func (s *Server) handle(pattern string, h handler) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		if !s.authorized(r) {
@@ -92,7 +92,8 @@
 	})
 }
 
-// authorized compares the token with every one of the settings in constant time.
+// authorized reports whether the request carries one of the operators' tokens. It compares
+// with each in constant time.
 func (s *Server) authorized(r *http.Request) bool {
 	t, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -113,19 +114,19 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// errBadRequest marks an error in what the operator sent.
+// errBadRequest marks an error of the operator's request.
 var errBadRequest = errors.New("bad request")
 
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	f := Failure{Error: err.Error()}
 	status := http.StatusBadGateway
-	var faults config.ValidationError
+	var invalid config.ValidationError
 	var stale *config.StaleError
 	var large *http.MaxBytesError
 	switch {
-	case errors.As(err, &faults):
+	case errors.As(err, &invalid):
 		status = http.StatusUnprocessableEntity
-		f.Violations = faults
+		f.Violations = invalid
 	case errors.As(err, &stale):
 		status = http.StatusConflict
 		f.Current = stale.Current
--- a/cmd/amberwayctl/main.go
+++ b/cmd/amberwayctl/main.go
@@ -1,4 +1,4 @@
-// Command amberwayctl is the operators' tool.
+// Command amberwayctl is the command-line tool for operators.
 package main
 
 import (
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -27,7 +27,7 @@
 	"amberway/request"
 )
 
-// requestsDaemon is one entry host.
+// requestsDaemon is an entry host that serves requests; see jobsDaemon for jobs.
 type requestsDaemon struct {
 	settings      Settings
 	parsed        parsedSettings
@@ -53,14 +53,15 @@
 	shares        *request.SlotShares
 }
 
-// gcPercent makes the garbage collector keep less memory in reserve than its
-// default of 100, as an entry host is small.
+// gcPercent makes the garbage collector run earlier than with its default of 100, because
+// an entry host has little memory.
 const gcPercent = 50
 
-// operatorStopTimeout bounds the wait for operators' calls once nothing else is in flight.
+// operatorStopTimeout bounds the wait for operators' calls after the other servers have
+// stopped.
 const operatorStopTimeout = 10 * time.Second
 
-// RunDaemon is amberwayd: it returns the exit code.
+// RunDaemon runs amberwayd and returns its exit code.
 func RunDaemon(args []string, out, errs io.Writer) int {
 	debug.SetGCPercent(gcPercent)
 	s, c, code, ok := readSettings(args, out, errs)
@@ -96,18 +97,19 @@
 	return l
 }
 
-// logTimeFormat is the format of times in the log. Decisions of one owner are milliseconds apart.
+// logTimeFormat is the format of times in the log. It has milliseconds because that is how
+// close an owner's decisions follow each other.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // run serves until the context ends, and then stops without cutting off a
 // request in flight.
 func (d *requestsDaemon) run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.Background())
+	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if err := d.initServers(work); err != nil {
+	if err := d.initServers(background); err != nil {
 		return err
 	}
-	l, err := d.listen(work)
+	l, err := d.listen(background)
 	if err != nil {
 		return err
 	}
@@ -117,7 +119,7 @@
 	go func() { failed <- l.callers.serve() }()
 	go func() { failed <- l.operators.serve() }()
 	go func() { failed <- g.Serve(l.peers) }()
-	d.startBackground(work)
+	d.startBackground(background)
 	d.log.Infof("%s serves callers on %s", d.settings.Name, d.parsed.callers)
 	select {
 	case err := <-failed:
@@ -149,7 +151,7 @@
 	return l, nil
 }
 
-// startBackground starts what runs besides the listeners.
+// startBackground starts the goroutines that run beside the servers.
 func (d *requestsDaemon) startBackground(ctx context.Context) {
 	go d.pauseDetector.Run(ctx, d.reload)
 	go d.follower.Run(ctx)
@@ -159,33 +161,33 @@
 	go d.syncLoop(ctx)
 }
 
-// ready reports whether the balancer may send requests here.
+// ready reports whether the load balancer may send requests to this entry host.
 func (d *requestsDaemon) ready() bool {
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
 	return !d.stopping.Load() && d.shares.Usable() && d.follower.Current().Head.Generation > 0
 }
 
-// stop takes no more requests once the balancer had time to learn of it, and
-// waits for those in flight.
+// stop stops the servers, after StopDelay so that the load balancer can react first, and
+// waits for the requests in flight.
 func (d *requestsDaemon) stop(l listeners, g *grpc.Server) error {
 	d.log.Infof("stopping")
 	d.stopping.Store(true)
 	l.callers.DisableKeepAlives()
 	l.operators.DisableKeepAlives()
-	within, cancel := context.WithTimeout(context.Background(), d.settings.StopWithin)
+	stopCtx, cancel := context.WithTimeout(context.Background(), d.settings.StopWithin)
 	defer cancel()
-	common.Sleep(within, d.settings.StopDelay)
-	err := d.stopServer(within, l.callers, "callers'")
-	d.server.Drain(within)
-	leave, done := context.WithTimeout(context.Background(), 2*time.Second)
-	defer done()
-	d.members.Leave(leave)
+	common.Sleep(stopCtx, d.settings.StopDelay)
+	err := d.stopServer(stopCtx, l.callers, "callers'")
+	d.server.Drain(stopCtx)
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancelLeave()
+	d.members.Leave(leaveCtx)
 	g.Stop()
-	// An operator's call that is cut off is no failed stop.
-	ending, ended := context.WithTimeout(context.Background(), operatorStopTimeout)
-	defer ended()
-	_ = d.stopServer(ending, l.operators, "operators'")
+	// A stop that cuts off an operator's call does not count as failed.
+	operatorsCtx, cancelOperators := context.WithTimeout(context.Background(), operatorStopTimeout)
+	defer cancelOperators()
+	_ = d.stopServer(operatorsCtx, l.operators, "operators'")
 	d.dialer.Close()
 	if errors.Is(err, context.DeadlineExceeded) {
 		return merry.Prepend(err, "daemon: requests in flight were cut off")
@@ -194,7 +196,7 @@
 	return err
 }
 
-// stopServer stops one side and logs what its stop met.
+// stopServer stops the server and logs the report of its stop.
 func (d *requestsDaemon) stopServer(ctx context.Context, s gracefulServer, whose string) error {
 	r, err := s.stop(ctx)
 	d.log.Infof("%s listener closed: %v %v", whose, r.LogFields(), err)
--- a/commands/doc.go
+++ b/commands/doc.go
@@ -1,5 +1,5 @@
-// Package commands holds what amberwayd and amberwayctl do: their settings,
-// the wiring of the daemon's parts, and the commands of the tool.
+// Package commands implements amberwayd and amberwayctl: their settings, the wiring of
+// the daemon's parts, and the commands of the tool.
 package commands
 
 // Version is the version of both programs.
@@ -7,14 +7,14 @@
 
 // Exit codes of both programs.
 const (
-	// ExitOK says that all went well.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailed says that the command could not be done.
+	// ExitFailed means that the command failed.
 	ExitFailed = 1
-	// ExitUsage says that settings or arguments are wrong.
+	// ExitUsage means that settings or arguments are wrong.
 	ExitUsage = 2
-	// ExitConflict says that somebody else changed the configuration first.
+	// ExitConflict means that somebody else changed the configuration first.
 	ExitConflict = 3
-	// ExitInvalid says that the document has faults.
+	// ExitInvalid means that the document is invalid.
 	ExitInvalid = 4
 )
--- a/commands/dump.go
+++ b/commands/dump.go
@@ -13,7 +13,7 @@
 	"amberway/request"
 )
 
-// DaemonDump is the dump of one process.
+// DaemonDump is the whole state of a requestsDaemon, for diagnosis.
 type DaemonDump struct {
 	Name            string                `json:"name"`
 	DataCentre      string                `json:"data_centre"`
@@ -55,7 +55,8 @@
 	}
 }
 
-// registerMetrics makes the instruments that are read when the metrics are.
+// registerMetrics registers the instruments whose values are read when metrics are
+// collected.
 func (d *requestsDaemon) registerMetrics(m metric.Meter) error {
 	gauges := map[string]func() int64{
 		"amberway.generation":   func() int64 { return d.follower.Current().Head.Generation },
--- a/commands/graceful_server.go
+++ b/commands/graceful_server.go
@@ -9,20 +9,21 @@
 	"amberway/request"
 )
 
-// gracefulServer is a listener whose stop loses no request, with what serves it.
+// gracefulServer is an HTTP server and its listener, whose stop loses no request.
 type gracefulServer struct {
 	*request.CallerServer
 	listener *request.CallerListener
 }
 
-// newGracefulServer listens at the address for the handler. Callers are told for how long idle
-// connections are kept, and a stop waits for those that pause for longer.
-func newGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, keep, pause time.Duration) (gracefulServer, error) {
+// newGracefulServer listens at the address for the handler. Answers announce to callers
+// that they may use an idle connection for keepAlive. A stop leaves idle connections open
+// for the grace, for callers that pause longer than that between requests.
+func newGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, keepAlive, grace time.Duration) (gracefulServer, error) {
 	l, err := request.ListenForCallers(ctx, at)
 	if err != nil {
 		return gracefulServer{}, err
 	}
-	return gracefulServer{request.NewCallerServer(h, keep, pause), l}, nil
+	return gracefulServer{request.NewCallerServer(h, keepAlive, grace), l}, nil
 }
 
 // serve serves until the listener is closed.
@@ -30,12 +31,12 @@
 	return s.Serve(s.listener)
 }
 
-// stop stops the side and returns what that met.
+// stop stops the server and returns the report of its stop.
 func (s gracefulServer) stop(ctx context.Context) (request.StopReport, error) {
 	return s.Stop(ctx, s.listener)
 }
 
-// keepAliveTimeout returns for how long a stop keeps an idle connection open at least.
+// keepAliveTimeout returns for how long at least an idle connection stays open in a stop.
 func (s Settings) keepAliveTimeout() time.Duration {
 	return request.KeepAliveTimeout(s.StopDelay, s.StopWithin)
 }
--- a/commands/jobs.go
+++ b/commands/jobs.go
@@ -24,22 +24,23 @@
 	"amberway/request"
 )
 
-// Figures of a daemon that serves jobs.
+// Limits and intervals of a daemon that serves jobs.
 const (
-	// jobsGCPercent trades memory, of which a host has 284 megabytes and the
-	// daemon uses some ten, for processor time.
+	// jobsGCPercent saves CPU time at the cost of memory, of which a host has 284 megabytes
+	// while the daemon uses some ten.
 	jobsGCPercent = 400
-	// jobsMemoryLimit is the soft limit of the heap, in bytes.
+	// jobsMemoryLimit is the soft memory limit of the Go runtime, in bytes.
 	jobsMemoryLimit = 120 << 20
-	// headerTimeout bounds the reading of a request's headers, idleTimeout closes
-	// connections that carry nothing: the balancer asks again within seconds.
+	// headerTimeout bounds the reading of a request's headers.
 	headerTimeout = 5 * time.Second
-	idleTimeout   = 60 * time.Second
-	// logFlushTimeout bounds the wait for a reader of the log's last lines: they tell how a
-	// stop went, and without it a process ended before they were written.
+	// idleTimeout is how long an idle connection stays open. The load balancer polls
+	// readiness every few seconds.
+	idleTimeout = 60 * time.Second
+	// logFlushTimeout bounds the wait until the last log lines are written. They show how
+	// the stop went, and without the wait the process could exit before them.
 	logFlushTimeout = 200 * time.Millisecond
-	// settingsPollInterval is how often the settings file is looked at for a change
-	// that no signal tells of.
+	// settingsPollInterval is how often the settings file is checked for a change
+	// without a signal.
 	settingsPollInterval = 2 * time.Second
 )
 
@@ -55,8 +56,7 @@
 	lastModTime   time.Time
 }
 
-// runJobs serves jobs until the process is told to stop. It returns the exit
-// code.
+// runJobs serves jobs until the process gets a signal to stop, and returns the exit code.
 func runJobs(s Settings, c parsedSettings, args []string, out io.Writer) int {
 	debug.SetGCPercent(jobsGCPercent)
 	debug.SetMemoryLimit(jobsMemoryLimit)
@@ -67,7 +67,7 @@
 	d.log = job.NewLogger(d.logger, time.Now, done)
 	defer d.log.Flush(logFlushTimeout)
 	defer close(done)
-	exposed, meter, err := newMeter()
+	metricsHandler, meter, err := newMeter()
 	if err != nil {
 		fmt.Fprintf(out, "amberwayd: %v\n", err)
 		return ExitFailed
@@ -78,7 +78,7 @@
 		Workers:  platform.NewWorkers(),
 		Machines: platform.NewMachines(c.machines, &d.platformCalls),
 		Advice:   platform.NewAdvice(c.advice),
-	}, d.log, deps, exposed)
+	}, d.log, deps, metricsHandler)
 	if err != nil {
 		fmt.Fprintf(out, "amberwayd: %v\n", err)
 		return ExitFailed
@@ -90,30 +90,30 @@
 	return ExitOK
 }
 
-// size returns what the host has.
+// size returns the resources of the host.
 func (s Settings) size() job.Size {
 	return job.Size{Cores: s.Cores, LinkMbps: s.LinkMbps, MemoryMB: s.MemoryMB, OrdersPerSecond: s.OrderRate}
 }
 
 func (d *jobsDaemon) run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.Background())
+	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	failed := make(chan error, 3)
-	callers, err := d.startGracefulServer(work, d.parsed.callers, d.node.Callers(), request.IdleGrace, failed)
+	callers, err := d.startGracefulServer(background, d.parsed.callers, d.node.Callers(), request.IdleGrace, failed)
 	if err != nil {
 		return err
 	}
-	ready, err := startServer(work, d.parsed.ready, http.HandlerFunc(d.serveReady), failed)
+	ready, err := startServer(background, d.parsed.ready, http.HandlerFunc(d.serveReady), failed)
 	if err != nil {
 		return err
 	}
-	peers, err := d.startGracefulServer(work, d.parsed.peers, d.peers(), 0, failed)
+	peers, err := d.startGracefulServer(background, d.parsed.peers, d.peers(), 0, failed)
 	if err != nil {
 		return err
 	}
 	d.log.Write(job.LogLine{What: "started", Fields: []any{"name", d.settings.Name, "callers", d.parsed.callers.String(), "version", Version}})
-	go d.node.Run(work)
-	go d.watchSettings(work)
+	go d.node.Run(background)
+	go d.watchSettings(background)
 	select {
 	case err := <-failed:
 		return err
@@ -122,9 +122,10 @@
 	return d.stop(callers, peers, ready)
 }
 
-// startGracefulServer serves the handler at the address, beside its caller.
-func (d *jobsDaemon) startGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, pause time.Duration, failed chan<- error) (gracefulServer, error) {
-	s, err := newGracefulServer(ctx, at, h, d.settings.keepAliveTimeout(), pause)
+// startGracefulServer starts to serve the handler at the address in a goroutine, which
+// sends an error to failed.
+func (d *jobsDaemon) startGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, grace time.Duration, failed chan<- error) (gracefulServer, error) {
+	s, err := newGracefulServer(ctx, at, h, d.settings.keepAliveTimeout(), grace)
 	if err != nil {
 		return s, err
 	}
@@ -136,7 +137,8 @@
 	return s, nil
 }
 
-// peers serves other entry hosts, metrics and, if the settings ask for them, profiles.
+// peers returns the handler for other entry hosts, metrics and, if the settings enable
+// them, profiles.
 func (d *jobsDaemon) peers() http.Handler {
 	if !d.settings.Profile {
 		return d.node.Peers()
@@ -148,7 +150,8 @@
 	return m
 }
 
-// startServer serves the handler at the address, beside the caller.
+// startServer starts to serve the handler at the address in a goroutine, which sends an
+// error to failed.
 func startServer(ctx context.Context, at netip.AddrPort, h http.Handler, failed chan<- error) (*http.Server, error) {
 	var c net.ListenConfig
 	l, err := c.Listen(ctx, "tcp", at.String())
@@ -174,27 +177,28 @@
 	}
 }
 
-// stop hands ownership on, has callers sent elsewhere, and ends once nothing is
-// in flight.
+// stop gives up ownership, lets the load balancer send callers to other entry hosts, and
+// returns once nothing is in flight.
 func (d *jobsDaemon) stop(callers, peers gracefulServer, ready *http.Server) error {
 	d.log.Write(job.LogLine{What: "stopping"})
 	d.node.Leave()
 	callers.DisableKeepAlives()
 	peers.DisableKeepAlives()
-	within, cancel := context.WithTimeout(context.Background(), d.settings.StopWithin)
+	stopCtx, cancel := context.WithTimeout(context.Background(), d.settings.StopWithin)
 	defer cancel()
-	common.Sleep(within, d.settings.StopDelay)
+	common.Sleep(stopCtx, d.settings.StopDelay)
 	var g sync.WaitGroup
-	// A call of another entry host that is cut off is asked again or settled there.
-	g.Go(func() { _ = d.stopServer(within, peers, "peers' listener closed") })
-	err := d.stopServer(within, callers, "callers' listener closed")
+	// Errors are ignored: another entry host whose call is cut off repeats it, or finds out
+	// whether it was carried out.
+	g.Go(func() { _ = d.stopServer(stopCtx, peers, "peers' listener closed") })
+	err := d.stopServer(stopCtx, callers, "callers' listener closed")
 	g.Wait()
 	_ = ready.Close()
 	d.log.Write(job.LogLine{What: "stopped"})
 	return err
 }
 
-// stopServer stops one side and logs what its stop met.
+// stopServer stops the server and logs the report of its stop.
 func (d *jobsDaemon) stopServer(ctx context.Context, s gracefulServer, what string) error {
 	r, err := s.stop(ctx)
 	n := job.LogLine{What: what, Fields: r.LogFields()}
@@ -205,8 +209,8 @@
 	return err
 }
 
-// watchSettings reads the settings anew after a SIGHUP and when the file has
-// changed. Only the log's level can change while the daemon runs.
+// watchSettings reloads the settings on SIGHUP and when the file has changed. Only the log
+// level can change while the daemon runs.
 func (d *jobsDaemon) watchSettings(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -241,28 +245,27 @@
 }
 
 func (d *jobsDaemon) reload(why string) {
-	var faults textWriter
-	s, c, _, ok := readSettings(d.args, io.Discard, &faults)
+	var errs textWriter
+	s, c, _, ok := readSettings(d.args, io.Discard, &errs)
 	if !ok {
-		d.log.Write(job.LogLine{What: "settings not taken", Why: string(faults)})
+		d.log.Write(job.LogLine{What: "settings rejected", Why: string(errs)})
 		return
 	}
 	d.logger.SetLevel(c.level)
-	d.log.Write(job.LogLine{What: "settings read", Why: why, Fields: []any{"level", s.LogLevel, "restart_needed", d.needsRestart(c)}})
+	d.log.Write(job.LogLine{What: "settings reloaded", Why: why, Fields: []any{"level", s.LogLevel, "restart_needed", d.needsRestart(c)}})
 }
 
-// needsRestart reports whether the settings ask for something that only a restart
-// brings.
+// needsRestart reports whether the settings contain a change that only a restart applies.
 func (d *jobsDaemon) needsRestart(c parsedSettings) bool {
 	o := d.parsed
 	return c.callers != o.callers || c.peers != o.peers || c.ready != o.ready ||
 		c.store != o.store || c.machines != o.machines || c.advice != o.advice
 }
 
-// textWriter keeps what is written to it.
+// textWriter is an io.Writer that collects the text.
 type textWriter string
 
-// Write appends to the text.
+// Write implements io.Writer.
 func (w *textWriter) Write(b []byte) (int, error) {
 	*w += textWriter(b)
 	return len(b), nil
--- a/commands/routing.go
+++ b/commands/routing.go
@@ -12,33 +12,34 @@
 	"amberway/request"
 )
 
-// updateRouting hands configuration, fleet and membership on to the request path.
+// updateRouting passes the configuration, the fleet and the membership to the dispatcher.
 func (d *requestsDaemon) updateRouting() {
 	if d.dispatcher == nil || d.view == nil || d.members == nil {
 		return
 	}
-	// What is handed on is read under the lock: of two calls at once the later
-	// one must not hand on the older view, or a draining host would get work.
+	// The state is read under the lock: of two concurrent calls, the later one must not
+	// pass an older view, or a draining host would get work.
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
 	d.syncShares()
 	d.updateDispatcher()
 }
 
-// contactMembers asks the members that have not answered yet, so that all know of a process
-// that starts before it uses slots.
+// contactMembers contacts the members as long as some have not answered and this process
+// may not use slots yet: all must know of a new process before it uses slots.
 func (d *requestsDaemon) contactMembers(ctx context.Context) {
-	met := d.members.ContactedAll(d.settings.DataCentre)
+	contacted := d.members.ContactedAll(d.settings.DataCentre)
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
-	d.shares.ObserveAnswers(d.deps.Now(), met)
-	if !met && !d.shares.Usable() {
+	d.shares.ObserveAnswers(d.deps.Now(), contacted)
+	if !contacted && !d.shares.Usable() {
 		go d.members.PullTables(ctx)
 	}
 }
 
-// updateShares does what refresh does where shares may have changed. A process
-// is ready only once its slots are handed on, as both happen under the lock.
+// updateShares updates the dispatcher if the shares may have changed. Because this happens
+// under the lock that ready takes, a process is ready only once the dispatcher has its
+// slots.
 func (d *requestsDaemon) updateShares() {
 	d.sharesMu.Lock()
 	defer d.sharesMu.Unlock()
@@ -47,13 +48,14 @@
 	}
 }
 
-// syncShares reports whether shares may have changed. The caller holds
-// sharesMu.
+// syncShares updates the shares by the membership. It reports whether they may have
+// changed. The caller holds sharesMu.
 func (d *requestsDaemon) syncShares() bool {
 	return d.shares.SetMembers(d.deps.Now(), d.members.ShareHolders(d.settings.DataCentre))
 }
 
-// updateDispatcher hands what is known on to the request path. The caller holds sharesMu.
+// updateDispatcher passes the services and targets to the dispatcher. The caller holds
+// sharesMu.
 func (d *requestsDaemon) updateDispatcher() {
 	c := d.follower.Current()
 	v := d.view.Current()
@@ -68,8 +70,8 @@
 	})
 }
 
-// servicesOf returns the services, and besides each job that has been placed on
-// some of its pool's hosts.
+// servicesOf returns the services for the scheduler: each service of the document, and one
+// more for each job that is placed on some of its pool's hosts only.
 func servicesOf(d *config.Document, p fleet.Placement) []request.ServiceSpec {
 	l := make([]request.ServiceSpec, 0, len(d.Services))
 	for _, s := range d.Services {
@@ -98,15 +100,15 @@
 	return l
 }
 
-// syncInterval is how often shares follow the membership, and how often a view
-// that is stale is learned from a peer.
+// syncInterval is how often the shares are updated by the membership, and how often a
+// stale view is fetched from a peer.
 const syncInterval = 500 * time.Millisecond
 
-// maxViewAge is the age of the host list from which a peer is asked for it.
+// maxViewAge is the age of the host list above which the view is fetched from a peer.
 const maxViewAge = 3 * time.Second
 
-// syncLoop keeps the request path in step with the membership, and learns the
-// fleet from a peer while the platform does not tell of it.
+// syncLoop keeps the dispatcher in line with the membership, and fetches the fleet view
+// from a peer while the platform does not provide it.
 func (d *requestsDaemon) syncLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.contactMembers(ctx)
@@ -119,16 +121,16 @@
 	}
 }
 
-// reload learns what may have changed in a pause of the process: the fleet, and
-// who the slots are shared with.
+// reload reloads what may have changed during a pause of the process: the fleet, and the
+// members that share the slots.
 func (d *requestsDaemon) reload(ctx context.Context) error {
-	joined := make(chan struct{})
+	pulled := make(chan struct{})
 	go func() {
-		defer close(joined)
+		defer close(pulled)
 		d.members.PullTables(ctx)
 	}()
 	err := d.view.Reload(ctx)
-	<-joined
+	<-pulled
 	if err != nil {
 		return err
 	}
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// fetchFleet asks one peer of the same data centre for its view.
+// fetchFleet fetches the fleet view from a random peer of the same data centre.
 func (d *requestsDaemon) fetchFleet(ctx context.Context) {
 	var l []peers.Member
 	for _, m := range d.members.Live() {
@@ -163,6 +165,6 @@
 		return
 	}
 	if err := d.follower.FetchFrom(ctx, config.NewPeerSource(c)); err != nil {
-		d.log.Warnf("configuration not learned from %s: %v", m.Name, err)
+		d.log.Warnf("could not fetch the configuration from %s: %v", m.Name, err)
 	}
 }
--- a/commands/run_test.go
+++ b/commands/run_test.go
@@ -15,8 +15,8 @@
 	"amberway/config"
 )
 
-// TestCommands runs each command in testdata and compares its exit code and what it
-// prints. An expected text in dots has to be contained only.
+// TestCommands runs each command in testdata and compares its exit code and output. An
+// expected text between "..." only has to be contained in the output.
 func TestCommands(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -70,7 +70,7 @@
 	}
 }
 
-// Decisions of one owner are milliseconds apart.
+// Decisions of one owner are milliseconds apart, and the log must show their order.
 func TestLogTimesHaveMilliseconds(t *testing.T) {
 	for _, format := range []string{"json", "text"} {
 		var b bytes.Buffer
--- a/commands/settings.go
+++ b/commands/settings.go
@@ -16,9 +16,9 @@
 	"amberway/job"
 )
 
-// Settings are the settings of the daemon, from flags, environment variables
-// and a file. A flag goes before a variable, and both go before the file, whose
-// entries have the flags' names.
+// Settings are the settings of the daemon, from flags, environment variables and a file.
+// A flag overrides a variable, and both override the file, whose keys are named like the
+// flags.
 type Settings struct {
 	File       string   `arg:"--settings,env:AMBERWAY_SETTINGS" yaml:"-" help:"file with settings, as YAML or JSON" placeholder:"FILE"`
 	Name       string   `arg:"--name,env:AMBERWAY_NAME" yaml:"name" help:"name of this entry host" placeholder:"NAME"`
@@ -43,15 +43,15 @@
 	Profile    bool     `arg:"--profile,env:AMBERWAY_PROFILE" yaml:"profile" help:"serve profiles of this process under /debug/pprof/, beside the metrics; with --store"`
 	LogFormat  string   `arg:"--log-format,env:AMBERWAY_LOG_FORMAT" yaml:"log-format" help:"text or json" placeholder:"FORMAT"`
 	LogLevel   string   `arg:"--log-level,env:AMBERWAY_LOG_LEVEL" yaml:"log-level" help:"error, warning, info or debug" placeholder:"LEVEL"`
-	// ConfigWithin, KeysWithin, StopDelay and StopWithin are settings, not state: a deadline is
-	// made of each when a watch or the stop begins.
+	// ConfigWithin, KeysWithin, StopDelay and StopWithin are durations; deadlines are
+	// computed from them when a watch or the stop begins.
 	ConfigWithin time.Duration `arg:"--config-within,env:AMBERWAY_CONFIG_WITHIN" yaml:"config-within" help:"time from the store's acknowledgement of a configuration until it has to be in force; with --store" placeholder:"TIME"`
 	KeysWithin   time.Duration `arg:"--keys-within,env:AMBERWAY_KEYS_WITHIN" yaml:"keys-within" help:"how long a team's key that was taken away may go on working; if given, callers of queues that are not public need a key; with --store" placeholder:"TIME"`
 	StopDelay    time.Duration `arg:"--stop-delay,env:AMBERWAY_STOP_DELAY" yaml:"stop-delay" help:"how long a stopping daemon takes requests while the balancer learns of it" placeholder:"TIME"`
 	StopWithin   time.Duration `arg:"--stop-within,env:AMBERWAY_STOP_WITHIN" yaml:"stop-within" help:"how long a stopping daemon waits for requests in flight" placeholder:"TIME"`
 }
 
-// defaultSettings are the settings where nothing else is said.
+// defaultSettings returns the settings that apply unless others are given.
 func defaultSettings() Settings {
 	return Settings{
 		Callers:      "127.0.0.1:8080",
@@ -68,25 +68,25 @@
 	}
 }
 
-// Version is what --version prints.
+// Version returns what --version prints.
 func (Settings) Version() string {
 	return "amberwayd " + Version
 }
 
-// Description is the head of the help text.
+// Description returns the head of the help text.
 func (Settings) Description() string {
 	return "Entry host of amberway: serves callers, operators and other entry hosts."
 }
 
-// SettingsError names every fault of the settings.
+// SettingsError lists everything wrong with the settings.
 type SettingsError []string
 
-// Error lists the faults.
+// Error returns all messages, each on a line of its own.
 func (e SettingsError) Error() string {
 	return fmt.Sprintf("%d bad settings:\n  %s", len(e), strings.Join(e, "\n  "))
 }
 
-// parsedSettings is what the settings come to.
+// parsedSettings holds the settings that need parsing, as values.
 type parsedSettings struct {
 	callers  netip.AddrPort
 	admin    netip.AddrPort
@@ -101,35 +101,36 @@
 	level    logrus.Level
 }
 
-// check returns the settings as values, or a SettingsError with every fault.
+// check parses and checks the settings. Its error is a SettingsError with everything that
+// is wrong.
 func (s *Settings) check() (parsedSettings, error) {
 	var c parsedSettings
 	var e SettingsError
-	fault := func(format string, a ...any) { e = append(e, fmt.Sprintf(format, a...)) }
-	s.checkRequired(fault)
-	c.callers = parseAddress("--callers", s.Callers, fault)
-	c.admin = parseAddress("--admin", s.Admin, fault)
-	c.peers = parseAddress("--peers", s.Peers, fault)
+	report := func(format string, a ...any) { e = append(e, fmt.Sprintf(format, a...)) }
+	s.checkRequired(report)
+	c.callers = parseAddress("--callers", s.Callers, report)
+	c.admin = parseAddress("--admin", s.Admin, report)
+	c.peers = parseAddress("--peers", s.Peers, report)
 	for _, v := range s.Seeds {
-		c.seeds = append(c.seeds, parseAddress("--seed", v, fault))
+		c.seeds = append(c.seeds, parseAddress("--seed", v, report))
 	}
 	if s.Store != "" {
-		s.checkJobSettings(&c, fault)
+		s.checkJobSettings(&c, report)
 	}
-	c.platform = parseURL("--platform", s.Platform, fault)
+	c.platform = parseURL("--platform", s.Platform, report)
 	c.hostList = c.platform
 	if s.HostList != "" {
-		c.hostList = parseURL("--host-list", s.HostList, fault)
+		c.hostList = parseURL("--host-list", s.HostList, report)
 	}
 	if s.LogFormat != "text" && s.LogFormat != "json" {
-		fault("--log-format: %q is neither text nor json", s.LogFormat)
+		report("--log-format: %q is neither text nor json", s.LogFormat)
 	}
 	var err error
 	if c.level, err = logrus.ParseLevel(s.LogLevel); err != nil {
-		fault("--log-level: %q is no level", s.LogLevel)
+		report("--log-level: %q is no level", s.LogLevel)
 	}
 	if s.StopDelay < 0 || s.StopWithin <= 0 {
-		fault("--stop-delay may not be below zero, and --stop-within has to be above")
+		report("--stop-delay may not be below zero, and --stop-within has to be above")
 	}
 	if len(e) == 0 {
 		return c, nil
@@ -138,85 +139,86 @@
 	return c, e
 }
 
-// checkRequired names what is missing.
-func (s *Settings) checkRequired(fault reportFunc) {
+// checkRequired reports required settings that are missing.
+func (s *Settings) checkRequired(report reportFunc) {
 	needed := map[string]string{"--name": s.Name, "--data-centre": s.DataCentre}
 	if s.Store == "" {
 		needed["--platform"] = s.Platform
 		needed["--peer-token"] = s.PeerToken
 		if len(s.Tokens) == 0 || slices.Contains(s.Tokens, "") {
-			fault("--admin-token is needed and may not be empty")
+			report("--admin-token is needed and may not be empty")
 		}
 	}
 	for n, v := range needed {
 		if v == "" {
-			fault("%s is needed", n)
+			report("%s is needed", n)
 		}
 	}
 }
 
-// minConfigWithin is the least time in which a configuration can be in force. A
-// watch waits half of it: a shorter one is a call more than four times a second, and
-// the fifth that it has beyond its wait is too short for most answers.
+// minConfigWithin is the smallest valid ConfigWithin. A watch waits for half of it: with a
+// smaller one, watches would make more than four calls a second, and the fifth of
+// ConfigWithin that an answer may take beyond the wait would be too short for most answers.
 const minConfigWithin = 500 * time.Millisecond
 
-// checkJobSettings reads the settings that only jobs need.
-func (s *Settings) checkJobSettings(c *parsedSettings, fault reportFunc) {
-	c.store = parseAddress("--store", s.Store, fault)
-	c.ready = parseAddress("--ready", s.Ready, fault)
-	c.machines = parseAddress("--machines", s.Machines, fault)
+// checkJobSettings parses and checks the settings that only a daemon for jobs needs.
+func (s *Settings) checkJobSettings(c *parsedSettings, report reportFunc) {
+	c.store = parseAddress("--store", s.Store, report)
+	c.ready = parseAddress("--ready", s.Ready, report)
+	c.machines = parseAddress("--machines", s.Machines, report)
 	if s.Advice != "" {
-		c.advice = parseAddress("--advice", s.Advice, fault)
+		c.advice = parseAddress("--advice", s.Advice, report)
 	}
 	if s.Platform != "" {
-		fault("--store and --platform exclude each other: a daemon serves jobs or requests")
+		report("--store and --platform exclude each other: a daemon serves jobs or requests")
 	}
 	if s.ConfigWithin < minConfigWithin {
-		fault("--config-within: %s is below %s, in which no configuration is sure to be in force", s.ConfigWithin, minConfigWithin)
+		report("--config-within: %s is below %s, in which no configuration is sure to be in force", s.ConfigWithin, minConfigWithin)
 	}
 	if s.KeysWithin != 0 && s.KeysWithin < s.ConfigWithin {
-		fault("--keys-within: %s is below --config-within, by which entry hosts hear of the keys", s.KeysWithin)
+		report("--keys-within: %s is below --config-within, by which entry hosts hear of the keys", s.KeysWithin)
 	}
 	if s.Cores <= 0 {
-		fault("--cores: %g is not above zero", s.Cores)
+		report("--cores: %g is not above zero", s.Cores)
 	}
 	if s.LinkMbps < 0 {
-		fault("--link-mbps: %g is below zero", s.LinkMbps)
+		report("--link-mbps: %g is below zero", s.LinkMbps)
 	}
 	if s.OrderRate < 0 {
-		fault("--orders-per-second: %g is below zero", s.OrderRate)
+		report("--orders-per-second: %g is below zero", s.OrderRate)
 	}
 	if s.MemoryMB < 0 {
-		fault("--memory-mb: %g is below zero", s.MemoryMB)
+		report("--memory-mb: %g is below zero", s.MemoryMB)
 	}
 	if s.Orders != "call" {
-		fault("--orders: %q is not known, workers are told by call", s.Orders)
+		report("--orders: %q is not known, workers are told by call", s.Orders)
 	}
 }
 
+// reportFunc adds a message to a SettingsError.
 type reportFunc func(format string, a ...any)
 
-func parseAddress(flag, v string, fault reportFunc) netip.AddrPort {
+func parseAddress(flag, v string, report reportFunc) netip.AddrPort {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
-		fault("%s: %q is no IP number with a port", flag, v)
+		report("%s: %q is no IP number with a port", flag, v)
 	}
 	return a
 }
 
-func parseURL(flag, v string, fault reportFunc) *url.URL {
+func parseURL(flag, v string, report reportFunc) *url.URL {
 	u, err := url.Parse(v)
 	if v == "" {
 		return u
 	}
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		fault("%s: %q is no URL of http or https", flag, v)
+		report("%s: %q is no URL of http or https", flag, v)
 	}
 	return u
 }
 
-// parseArgs reads arguments into dest. It returns false with the exit code where
-// the program is not to go on.
+// parseArgs parses the arguments into dest. It returns false and the exit code if the
+// program is to exit.
 func parseArgs(dest any, program string, args []string, out, errs io.Writer) (int, bool) {
 	p, err := arg.NewParser(arg.Config{Program: program, Out: errs}, dest)
 	if err != nil {
--- a/commands/settings_file.go
+++ b/commands/settings_file.go
@@ -10,11 +10,11 @@
 	"github.com/goccy/go-yaml"
 )
 
-// settingsFileEnv names the settings file where no flag does.
+// settingsFileEnv is the environment variable that names the settings file if no flag does.
 const settingsFileEnv = "AMBERWAY_SETTINGS"
 
-// readSettings returns the settings from the file, variables and flags. It
-// returns false with the exit code where the daemon is not to go on.
+// readSettings returns the settings from the file, variables and flags. It returns false
+// and the exit code if the daemon is to exit.
 func readSettings(args []string, out, errs io.Writer) (Settings, parsedSettings, int, bool) {
 	s := defaultSettings()
 	if f := settingsFile(args); f != "" {
@@ -34,8 +34,8 @@
 	return s, c, ExitOK, true
 }
 
-// settingsFile returns the file that the arguments or the environment name. The
-// file has to be known before flags are read, as flags go before it.
+// settingsFile returns the settings file that the arguments or the environment name. The
+// file must be read before the flags are parsed, because flags override it.
 func settingsFile(args []string) string {
 	for i, a := range args {
 		if v, ok := strings.CutPrefix(a, "--settings="); ok {
@@ -48,8 +48,8 @@
 	return os.Getenv(settingsFileEnv)
 }
 
-// readFile reads the file over the settings. An entry that is no setting is an
-// error with its line.
+// readFile overrides the settings with those of the file. An unknown key is an error that
+// shows its line.
 func (s *Settings) readFile(name string) error {
 	b, err := os.ReadFile(name) //nolint:gosec // the operator names the file
 	if err != nil {
--- a/commands/tool.go
+++ b/commands/tool.go
@@ -34,12 +34,12 @@
 	Dump    *struct{}    `arg:"subcommand:dump" help:"print the whole state of the entry host"`
 }
 
-// Version is what --version prints.
+// Version returns what --version prints.
 func (toolArgs) Version() string {
 	return "amberwayctl " + Version
 }
 
-// Description is the head of the help text.
+// Description returns the head of the help text.
 func (toolArgs) Description() string {
 	return "Operators' tool of amberway.\n" +
 		"Exit codes: 0 done, 1 failed, 2 wrong arguments, 3 somebody else changed the configuration, 4 the document has faults."
@@ -91,7 +91,7 @@
 	out    io.Writer
 }
 
-// RunTool is amberwayctl: it returns the exit code.
+// RunTool runs amberwayctl and returns its exit code.
 func RunTool(args []string, out, errs io.Writer) int {
 	var a toolArgs
 	if code, ok := parseArgs(&a, "amberwayctl", args, out, errs); !ok {
@@ -110,7 +110,7 @@
 	return ExitOK
 }
 
-// errUsage says that no command was named.
+// errUsage means that no command was named.
 var errUsage = merry.New("name a command; --help lists them")
 
 func exitCode(err error) int {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// Times of apply --wait.
+// Timeout and poll interval of apply --wait.
 const (
 	applyTimeout      = 30 * time.Second
 	applyPollInterval = 100 * time.Millisecond
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// waitInForce returns once every live entry host that answers has the generation.
+// waitInForce waits until every live entry host has the generation in force.
 func (t *tool) waitInForce(ctx context.Context, gen int64, until time.Time) error {
 	for time.Now().Before(until) {
 		s, err := t.client.Status(ctx)
@@ -268,13 +268,13 @@
 	return e.Encode(v)
 }
 
-// table prints rows below their heads, or v as JSON.
-func (t *tool) table(v any, heads string, rows func(w io.Writer)) error {
+// table prints the rows below the header, or v as JSON.
+func (t *tool) table(v any, header string, rows func(w io.Writer)) error {
 	if t.args.JSON {
 		return t.json(v)
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, heads)
+	fmt.Fprintln(w, header)
 	rows(w)
 	return w.Flush()
 }
--- a/commands/tool_jobs.go
+++ b/commands/tool_jobs.go
@@ -15,10 +15,10 @@
 	"amberway/job"
 )
 
-// entryTimeout bounds one question of the tool to an entry host.
+// entryTimeout bounds one call of the tool to an entry host.
 const entryTimeout = 5 * time.Second
 
-// entryArgs are the arguments of amberwayctl queues.
+// entryArgs are the arguments of amberwayctl queues and teams.
 type entryArgs struct {
 	Entry string `arg:"--entry,env:AMBERWAY_ENTRY,required" help:"peers' listener of an entry host that serves jobs" placeholder:"IP:PORT"`
 }
@@ -29,10 +29,10 @@
 	ID string `arg:"positional,required" help:"id of a job, 16 hexadecimal digits"`
 }
 
-// errNoOwner says that nobody owns the jobs at the moment.
+// errNoOwner means that no entry host owns the jobs at the moment.
 var errNoOwner = errors.New("no entry host owns the jobs at the moment; ask again in two seconds")
 
-// errNoJob says that the entry host that was asked does not know the job.
+// errNoJob means that the entry host does not know the job.
 var errNoJob = errors.New("no such job")
 
 // queues shows queues, pools and waves as the owner knows them.
@@ -71,8 +71,8 @@
 	})
 }
 
-// teams shows teams as the owner knows them, with what the entry host that is asked has
-// refused.
+// teams shows teams as the owner knows them, with how many of their jobs the entry host
+// a.Entry has refused.
 func (t *tool) teams(ctx context.Context, a *entryArgs) error {
 	entry, o, err := entryAndOwnerOverviews(ctx, a.Entry)
 	if err != nil {
@@ -87,7 +87,7 @@
 	})
 }
 
-// formatLimit shows a bound in units of the size; none is a hyphen.
+// formatLimit formats the limit n in units of the given size; no limit is a hyphen.
 func formatLimit(n, unit int64) string {
 	if n == 0 {
 		return "-"
@@ -95,8 +95,8 @@
 	return strconv.FormatFloat(float64(n)/float64(unit), 'f', -1, 64)
 }
 
-// explain shows what the owner knows of one job, or why the entry host that is asked has
-// refused it.
+// explain shows what the owner knows of one job, or why the entry host a.Entry has refused
+// it.
 func (t *tool) explain(ctx context.Context, a *explainArgs) error {
 	if _, ok := job.ParseID(a.ID); !ok {
 		return fmt.Errorf("%q is no job id of 16 hexadecimal digits", a.ID)
@@ -130,15 +130,16 @@
 	})
 }
 
-// explainRefusal shows why the entry host has refused the job, or fails as the owner did.
-func (t *tool) explainRefusal(ctx context.Context, a *explainArgs, unknown error) error {
+// explainRefusal shows why the entry host a.Entry has refused the job. If it has not,
+// explainRefusal returns ownerErr, the error that the owner's answer gave.
+func (t *tool) explainRefusal(ctx context.Context, a *explainArgs, ownerErr error) error {
 	at, err := netip.ParseAddrPort(a.Entry)
 	if err != nil {
-		return unknown
+		return ownerErr
 	}
 	var r job.Refusal
 	if err := fetch(ctx, at, "/refused/"+a.ID, &r); err != nil {
-		return unknown
+		return ownerErr
 	}
 	if t.args.JSON {
 		return t.json(r)
@@ -147,31 +148,33 @@
 	return nil
 }
 
-// ownerOverview asks the owner for what it knows, by way of any entry host.
+// ownerOverview returns the overview of the owner, which any entry host names.
 func ownerOverview(ctx context.Context, entry string) (job.Overview, error) {
 	_, o, err := entryAndOwnerOverviews(ctx, entry)
 	return o, err
 }
 
-// entryAndOwnerOverviews returns what the entry host knows, and what the owner does.
-func entryAndOwnerOverviews(ctx context.Context, entry string) (job.Overview, job.Overview, error) {
-	var asked, owner job.Overview
-	at, err := netip.ParseAddrPort(entry)
+// entryAndOwnerOverviews returns the overviews of the entry host at the address and of the
+// owner.
+func entryAndOwnerOverviews(ctx context.Context, address string) (job.Overview, job.Overview, error) {
+	var entry, owner job.Overview
+	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return asked, owner, fmt.Errorf("--entry: %q is no IP number with a port", entry)
+		return entry, owner, fmt.Errorf("--entry: %q is no IP number with a port", address)
 	}
-	if err := fetch(ctx, at, "/overview", &asked); err != nil {
-		return asked, owner, err
+	if err := fetch(ctx, at, "/overview", &entry); err != nil {
+		return entry, owner, err
 	}
-	if asked.Owner.Name == "" {
-		return asked, owner, errNoOwner
+	if entry.Owner.Name == "" {
+		return entry, owner, errNoOwner
 	}
-	if asked.Owner.Name == asked.Name {
-		return asked, asked, nil
+	if entry.Owner.Name == entry.Name {
+		return entry, entry, nil
 	}
-	return asked, owner, fetch(ctx, asked.Owner.Peer, "/overview", &owner)
+	return entry, owner, fetch(ctx, entry.Owner.Peer, "/overview", &owner)
 }
 
+// fetch gets the JSON document at the path from an entry host and decodes it into v.
 func fetch(ctx context.Context, at netip.AddrPort, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
--- a/commands/tool_tables.go
+++ b/commands/tool_tables.go
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// plan shows what a document comes to in the entry host's data centre.
+// plan shows the effects that applying a document would have in the entry host's data
+// centre.
 func (t *tool) plan(ctx context.Context, a *fileArgs) error {
 	b, err := readFile(a.File)
 	if err != nil {
--- a/commands/wiring.go
+++ b/commands/wiring.go
@@ -23,7 +23,7 @@
 	"amberway/request"
 )
 
-// newDaemon makes the parts and joins them.
+// newDaemon creates the parts of a daemon for requests and connects them.
 func newDaemon(s Settings, c parsedSettings, l *logrus.Logger) (*requestsDaemon, error) {
 	h, m, err := newMeter()
 	if err != nil {
@@ -35,16 +35,16 @@
 	d.startedAt = d.deps.Now()
 	d.shares = request.NewSlotShares(d.startedAt, s.Name)
 	d.pauseDetector = common.NewPauseDetector(d.deps.Now)
-	x := platform.NewPlatformClient()
-	d.store = platform.NewEtcd(c.platform, x, &d.platformCalls)
-	d.hosts = platform.NewHTTPHosts(c.hostList, x, &d.platformCalls)
+	client := platform.NewPlatformClient()
+	d.store = platform.NewEtcd(c.platform, client, &d.platformCalls)
+	d.hosts = platform.NewHTTPHosts(c.hostList, client, &d.platformCalls)
 	d.dialer = peers.NewDialer(s.PeerToken)
 	d.initMembers()
 	d.initFleet()
 	return d, d.registerMetrics(m)
 }
 
-// newMeter returns the maker of instruments and the handler that shows them.
+// newMeter returns a meter and the HTTP handler that serves its metrics.
 func newMeter() (http.Handler, metric.Meter, error) {
 	r := prometheus.NewRegistry()
 	e, err := otelprom.New(otelprom.WithRegisterer(r))
@@ -55,7 +55,8 @@
 	return promhttp.HandlerFor(r, promhttp.HandlerOpts{}), m, nil
 }
 
-// initMembers makes configuration and membership, which feed each other.
+// initMembers creates the configuration follower and the membership. They depend on each
+// other: members announce generations, and newer ones are fetched from them.
 func (d *requestsDaemon) initMembers() {
 	d.follower = config.NewFollower(d.deps, d.store, func(*config.Snapshot) { d.updateRouting() })
 	self := peers.Member{
@@ -74,7 +75,7 @@
 	}, d.dialer, d.store)
 }
 
-// initFleet makes the request path and the coordinator.
+// initFleet creates the dispatcher, the fleet view and the coordinator.
 func (d *requestsDaemon) initFleet() {
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	d.dispatcher = request.NewDispatcher(request.NewScheduler(request.DefaultPolicy(), r), d.deps.Now)
@@ -92,7 +93,7 @@
 	})
 }
 
-// initServers makes the callers' and the operators' interface.
+// initServers creates the handlers for callers and operators.
 func (d *requestsDaemon) initServers(ctx context.Context) error {
 	m, err := request.NewMetrics(d.deps.Meter)
 	if err != nil {
@@ -136,5 +137,5 @@
 	fleet.NewPeerServer(d.settings.DataCentre, d.view, d.dispatcher).Register(g)
 }
 
-// maxIdleConnsPerTarget is the most idle connections kept to each target.
+// maxIdleConnsPerTarget is the maximum number of idle connections to each target.
 const maxIdleConnsPerTarget = 8
