--- a/commands/graceful_server.go
+++ b/commands/graceful_server.go
@@ -16,8 +16,8 @@
 }
 
 // newGracefulServer listens at the address for the handler. Answers announce to callers
-// that they may use an idle connection for keepAlive. A stop leaves idle connections open
-// for the grace, for callers that pause longer than that between requests.
+// that they may use an idle connection for keepAlive. During a stop, an idle connection
+// stays open for the grace, and until keepAlive has passed.
 func newGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, keepAlive, grace time.Duration) (gracefulServer, error) {
 	l, err := request.ListenForCallers(ctx, at)
 	if err != nil {
--- a/commands/jobs.go
+++ b/commands/jobs.go
@@ -90,7 +90,7 @@
 	return ExitOK
 }
 
-// size returns the resources of the host.
+// size returns the resources of the host by the settings.
 func (s Settings) size() job.Size {
 	return job.Size{Cores: s.Cores, LinkMbps: s.LinkMbps, MemoryMB: s.MemoryMB, OrdersPerSecond: s.OrderRate}
 }
--- a/commands/routing.go
+++ b/commands/routing.go
@@ -25,8 +25,9 @@
 	d.updateDispatcher()
 }
 
-// contactMembers contacts the members as long as some have not answered and this process
-// may not use slots yet: all must know of a new process before it uses slots.
+// contactMembers tells the shares whether all members have answered, and contacts them
+// again as long as some have not and this process may not use slots yet: all must know of a
+// new process before it uses slots.
 func (d *requestsDaemon) contactMembers(ctx context.Context) {
 	contacted := d.members.ContactedAll(d.settings.DataCentre)
 	d.sharesMu.Lock()
--- a/commands/tool_jobs.go
+++ b/commands/tool_jobs.go
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// ownerOverview returns the overview of the owner, which any entry host names.
+// ownerOverview returns the owner's overview. Any entry host can name the owner.
 func ownerOverview(ctx context.Context, entry string) (job.Overview, error) {
 	_, o, err := entryAndOwnerOverviews(ctx, entry)
 	return o, err
--- a/common/attempt.go
+++ b/common/attempt.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// attempt is one try of a call.
+// attempt is one try to make a call.
 type attempt struct {
 	InFlightCall
 	Request
@@ -55,7 +55,7 @@
 	return a
 }
 
-// makeCancellable lets the attempt be ended for other causes than its context's.
+// makeCancellable lets the attempt be ended for other causes than the end of its context.
 func (a *attempt) makeCancellable() {
 	a.ctx, a.cancel = context.WithCancelCause(a.ctx)
 }
--- a/common/http_client.go
+++ b/common/http_client.go
@@ -23,13 +23,11 @@
 	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 30 * time.Second
 	// usualAnswerTime is the longest time that an answer takes when nothing is wrong,
-	// beyond the time that the other side was asked to wait. If a connection is silent,
-	// another that has received something later than that after the silent one's request
-	// is not affected.
+	// beyond the time that the other side was asked to wait. When a call has got no answer
+	// by then, other connections that have received something since are still trusted.
 	usualAnswerTime = 100 * time.Millisecond
-	// minSilence is how long a call must have waited for its answer when its deadline
-	// passes for its connection to count as silent: a slow store takes a quarter of a
-	// second to answer.
+	// minSilence is how overdue an answer must be when the call's deadline passes for the
+	// connection to count as silent: a slow store takes a quarter of a second to answer.
 	minSilence = 250 * time.Millisecond
 )
 
