--- a/job/admission.go
+++ b/job/admission.go
@@ -12,10 +12,8 @@
 const (
 	// limitAboveDelay is the delay of the starts ahead of a new job above which the
 	// admitted fraction falls; below growBelowDelay it rises. A job has a second or two
-	// beyond its run time, and each of its steps waits. With 4 s and 2 s, and 10 s for
-	// maxBacklogDelay, owners behind links of 2 Mbit/s accepted too much: callers waited in
-	// vain for 0.40 of their jobs and 27 of 48 simulated days broke a guarantee, against
-	// 0.22 and 16 with these.
+	// beyond its run time, and each of its steps waits. With higher limits, owners behind links
+	// of 2 Mbit/s accepted more jobs than they could start in time.
 	limitAboveDelay = 1500 * time.Millisecond
 	growBelowDelay  = 750 * time.Millisecond
 	// maxBacklogDelay limits the delay of all pending starts, including those of jobs that
@@ -25,14 +23,12 @@
 	// fractionDecrease multiplies the admitted fraction at each evaluation under overload,
 	// fractionIncrease at each with room to spare; a fraction below minFraction becomes
 	// zero. Admitting all or nothing made refused callers return all at once when a queue
-	// opened: half a second brought work for three to six seconds. Behind links of 2 Mbit/s
-	// 0.31 of the work was served and callers waited in vain for 0.22, against 0.35 and
-	// 0.13 with a fraction.
+	// opened: half a second brought work for three to six seconds.
 	fractionDecrease = 0.4
 	fractionIncrease = 1.3
 	minFraction      = 0.03
-	// recoveryIncrease and recoveryIncrement raise the fraction while no start is held
-	// back: within two seconds all jobs are admitted again.
+	// recoveryIncrease multiplies the fraction, and recoveryIncrement is added to it, at each
+	// evaluation while no start is held back: all jobs are admitted again within two seconds.
 	recoveryIncrease  = 2
 	recoveryIncrement = 0.1
 )
@@ -47,9 +43,9 @@
 	overloaded bool
 }
 
-// admits reports whether a job is admitted, given the fraction admitted of its team's jobs.
+// admits reports whether a job is admitted, given the admitted fraction of its team's jobs.
 // It decides by a hash of the id: every entry host gives the same answer each time, so that
-// retries do not raise the admitted fraction, and jobs once admitted stay so as it grows.
+// retries do not raise the admitted fraction, and a job once admitted stays so as it grows.
 func (a Admission) admits(id ID, teamFraction float64) bool {
 	return float64(xxhash.Sum64String(string(id))) < a.Fraction*teamFraction*math.MaxUint64
 }
--- a/job/admission_policy.go
+++ b/job/admission_policy.go
@@ -44,11 +44,11 @@
 }
 
 func decodeAdmissionPolicy(v platform.Entry) (AdmissionPolicy, error) {
-	var f AdmissionPolicy
-	if err := json.Unmarshal(v.Value, &f); err != nil {
+	var p AdmissionPolicy
+	if err := json.Unmarshal(v.Value, &p); err != nil {
 		return AdmissionPolicy{}, fmt.Errorf("job: admission policy: %w", err)
 	}
-	return f, nil
+	return p, nil
 }
 
 // admissionState is the owner's state of admission control.
@@ -61,15 +61,15 @@
 	// inherited says that an earlier owner's policy is still in force. This owner has to
 	// publish its own even if it is the same, since the earlier one expires.
 	inherited bool
-	// evaluateByRateUntil is until when pending starts are compared with the send rate although
+	// evaluateByRateUntil is until when pending starts are compared with the send rate even if
 	// no start was held back: the owner has yet to start the jobs it has inherited.
 	evaluateByRateUntil time.Time
 }
 
 // inheritAdmission continues with the policy of the previous owner.
-func (c *Core) inheritAdmission(f AdmissionPolicy) {
-	c.admission.admissions, c.admission.published = f.Admissions, f.Admissions
-	c.admission.inherited = len(f.Admissions) > 0
+func (c *Core) inheritAdmission(p AdmissionPolicy) {
+	c.admission.admissions, c.admission.published = p.Admissions, p.Admissions
+	c.admission.inherited = len(p.Admissions) > 0
 	if c.admission.inherited {
 		c.admission.evaluateByRateUntil = c.now.Add(evaluateByRateFor)
 	}
@@ -178,19 +178,19 @@
 
 // applyAdmissionPolicy puts a published policy in force on this entry host.
 func (e *election) applyAdmissionPolicy(v platform.Entry) {
-	f, err := decodeAdmissionPolicy(v)
+	p, err := decodeAdmissionPolicy(v)
 	if err != nil {
-		e.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
+		e.log.Write(LogLine{What: "store entry invalid", Why: err.Error()})
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admission = f
+	e.admission = p
 	e.admissionAt = e.now()
 }
 
-// refusedUntil returns when a refused caller may retry and why the job is refused, or false
-// if it is admitted. A policy outlives its owner until the next owner publishes its own: on
+// refusedUntil returns when the caller of a refused job may retry and why the job is refused,
+// or false if it is admitted. A policy outlives its owner until the next owner publishes its own: on
 // a narrow link a takeover takes seconds, and jobs accepted meanwhile would queue behind the
 // backlog that the policy was made for.
 func (e *election) refusedUntil(id ID, c caller) (at time.Time, why string, limited bool) {
--- a/job/advice.go
+++ b/job/advice.go
@@ -55,8 +55,8 @@
 	return string(n.job.id) + "." + strconv.Itoa(n.index) + "." + strconv.Itoa(s.index)
 }
 
-// adviceTicket returns the ticket for the step on the worker. If there is none, it
-// requests tickets for all workers of the pool that could run the step.
+// adviceTicket returns the ticket for the step on the worker. If there is no valid one, it
+// requests tickets for the workers of the pool that could run the step.
 func (c *Core) adviceTicket(s *step, w *worker) (string, bool) {
 	if s.advice == nil {
 		s.advice = &advice{tickets: map[platform.WorkerID]ticket{}, asked: map[platform.WorkerID]bool{}}
--- a/job/arrivals.go
+++ b/job/arrivals.go
@@ -13,7 +13,7 @@
 	// riseWindow is the time constant of the short average, which shows a rise first.
 	riseWindow = 500 * time.Millisecond
 	// noiseDeviations is how many standard deviations of the short average a rise has to
-	// exceed to count as one. docs/DESIGN.md compares 0, 0.5 and 1.
+	// exceed to count as one.
 	noiseDeviations = 1.0
 	// moveDuration is the time from the decision to move a host to its first task: 1.5 s
 	// for the move, and 0.2 s until the worker is listed and has answered.
@@ -27,10 +27,10 @@
 	at     time.Time
 }
 
-// add counts work, in core-milliseconds, that arrived now or earlier.
-func (a *average) add(work float64, came, now time.Time) {
+// add counts work, in core-milliseconds, that arrived at arrivedAt, which is now or earlier.
+func (a *average) add(work float64, arrivedAt, now time.Time) {
 	a.value(now)
-	age := max(0, now.Sub(came))
+	age := max(0, now.Sub(arrivedAt))
 	a.rate += work / float64(a.window.Milliseconds()) * math.Exp(-float64(age)/float64(a.window))
 }
 
@@ -60,15 +60,15 @@
 }
 
 // add counts the work of one job, in core-milliseconds.
-func (a *arrivals) add(work float64, came, now time.Time) {
-	a.long.add(work, came, now)
-	a.short.add(work, came, now)
-	a.squares.add(work*work, came, now)
+func (a *arrivals) add(work float64, arrivedAt, now time.Time) {
+	a.long.add(work, arrivedAt, now)
+	a.short.add(work, arrivedAt, now)
+	a.squares.add(work*work, arrivedAt, now)
 }
 
 // forecast returns the load to expect, in cores, by the time a host that is moved now runs
 // tasks. If arrivals rise by more than random variation explains, the rise is extrapolated;
-// otherwise it is the long average.
+// otherwise the forecast is the long average.
 func (a *arrivals) forecast(now time.Time) float64 {
 	long, short := a.long.value(now), a.short.value(now)
 	deviation := math.Sqrt(a.squares.value(now)*float64(a.squares.window.Milliseconds())) / float64(riseWindow.Milliseconds())
--- a/job/availability.go
+++ b/job/availability.go
@@ -9,7 +9,7 @@
 
 const (
 	// pollFreshFor is how long the answer to a poll proves that a task is ready. Workers are
-	// polled each second; a poll without an answer is known as missed after 1.7 s.
+	// polled each second; a poll without an answer counts as missed after 1.7 s.
 	pollFreshFor = 1500 * time.Millisecond
 	// promptPoll is the longest time that a poll may have taken, and the greatest age of its
 	// answer, for it to prove that a run is not ready yet. The fastest tasks take 0.3 s to
--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -173,7 +173,7 @@
 	f.join("w4")
 	for _, id := range []platform.WorkerID{"w1", "w2"} {
 		r := f.core.workers[id].runs[runID{task: taskKey{id: idA, index: at[id].index()}, number: at[id].Order.Run}]
-		f.core.stop(r, "its worker is to be emptied")
+		f.core.stop(r, "its worker is being drained")
 		r.stopPending = false
 		f.drain(id)
 	}
--- a/job/config_sync.go
+++ b/job/config_sync.go
@@ -16,7 +16,7 @@
 // configuration is as fresh as the owner's own last answer from the store, and the host
 // counts its age from then.
 
-// Settings of fetching the configuration.
+// Parameters of fetching the configuration.
 const (
 	// configRetry is the pause between two requests: a configuration has to be in force
 	// within two to three seconds, of which a failed watch may have taken most.
@@ -36,8 +36,8 @@
 	currentAt time.Time
 }
 
-// errNoConfig reports that an entry host has not read a configuration yet.
-var errNoConfig = errors.New("the entry host has no configuration either")
+// errNoConfig reports that the entry host that was asked has not read a configuration yet.
+var errNoConfig = errors.New("the owner has no configuration yet")
 
 // followOwnerConfig fetches the owner's configuration whenever a request to the store for it
 // has failed.
--- a/job/core.go
+++ b/job/core.go
@@ -103,8 +103,8 @@
 	c.actions = append(c.actions, a)
 }
 
-// apply does what is due with time: instances of jobs, leases, polls, writes and orders
-// to machines.
+// apply does what becomes due as time passes: instances of jobs, polls and leases of workers,
+// orders to machines, and the evaluation of admission.
 func (Tick) apply(c *Core) {
 	for _, j := range c.active {
 		c.addDueInstances(j)
@@ -153,8 +153,8 @@
 	c.addConfigured()
 }
 
-// queueOf returns the job's queue from the configuration, or as it was when the job was
-// accepted.
+// queueOf returns the job's queue from the configuration. If that no longer has the queue, it
+// is returned as it was when the job was accepted.
 func (c *Core) queueOf(r Record) platform.Queue {
 	if q, ok := c.queues[r.Queue]; ok {
 		return q
--- a/job/crash.go
+++ b/job/crash.go
@@ -26,8 +26,8 @@
 	// there for startupWindow, so that its next crash has no other suspect.
 	isolateFrom = 2
 	// crashLimit is how many crashes fail a task if all suspects of the last one were of its
-	// job, crashLimitShared how many fail it otherwise. Two starts after three crashes are
-	// acceptable; an owner that ends before it has stored a crash loses that one.
+	// job, crashLimitShared how many fail it otherwise. Up to two more starts are acceptable
+	// after the third crash; a crash that an owner did not store before it ended is not counted.
 	crashLimit       = 3
 	crashLimitShared = 4
 	// crashLimitUnconfirmed is the limit of a task that is known to have started on fewer than
@@ -160,7 +160,8 @@
 	c.crashesChanged(t.step.instance.job)
 }
 
-// crashesChanged has the job's crash counts written before its isolated tasks start again.
+// crashesChanged has the job's crash counts written to the store at once. Its isolated tasks
+// start again only after that.
 func (c *Core) crashesChanged(j *job) {
 	j.crashVersion++
 	c.markDirty(j)
@@ -195,7 +196,7 @@
 // suspects as well. It outweighs how near the task's data is.
 const freshRunPenalty = 1 << 39
 
-// scoreIsolated returns a worker's score for an isolated task: the less runs there, the less is
+// scoreIsolated returns a worker's score for an isolated task: the lower its load, the less is
 // lost in a crash.
 func (w *worker) scoreIsolated(load int64, now time.Time) int64 {
 	v := -load
--- a/job/elect.go
+++ b/job/elect.go
@@ -168,7 +168,7 @@
 func (e *election) applyOwner(v platform.Entry) {
 	var o Owner
 	if err := json.Unmarshal(v.Value, &o); err != nil {
-		e.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
+		e.log.Write(LogLine{What: "store entry invalid", Why: err.Error()})
 		return
 	}
 	o.Fence = platform.Fence(v.Revision)
--- a/job/explain.go
+++ b/job/explain.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// Overview summarises the state of an entry host and, on the owner's, that of its queues,
+// Overview summarises the state of an entry host and, if it is the owner, that of the queues,
 // teams, pools and waves.
 type Overview struct {
 	Name    string          `json:"name"`
--- a/job/flow.go
+++ b/job/flow.go
@@ -14,19 +14,21 @@
 	// respond within a few milliseconds, or within 80 where the processor quota is enforced
 	// per 100 ms period; a renewal has 600 ms on a kept-alive connection.
 	lateResponse = 150 * time.Millisecond
-	// adjustEvery is the interval at which the rate is adjusted. A decrease needs
-	// minResponses at least, as some workers are slow or unreachable.
+	// adjustEvery is the interval at which the rate is adjusted. Unless the limit of starts in
+	// flight was reached, a decrease needs at least minResponses responses, as some workers are
+	// slow or unreachable.
 	adjustEvery  = 150 * time.Millisecond
 	minResponses = 5
 	// On late responses the rate falls to decreaseFactor of what was sent. Unless the limit
 	// of starts in flight was reached, little may have been sent by chance, so the rate then
-	// keeps decreaseFloor at least. It does not fall again for decreaseCooldown, in which the
-	// backlog drains.
+	// falls to no less than decreaseFloor of what it was. It does not fall again for
+	// decreaseCooldown, in which the backlog drains.
 	decreaseFactor   = 0.8
 	decreaseFloor    = 0.5
 	decreaseCooldown = 300 * time.Millisecond
-	// The rate grows by fastIncrease when starts were held back and responses came in time,
-	// and by slowIncrease once it is above nearCeiling of the rate that it last fell from.
+	// The rate is multiplied by fastIncrease when starts were held back and responses came in
+	// time, but by slowIncrease if it is above nearCeiling of the ceiling, the rate from which
+	// it last fell.
 	fastIncrease = 1.15
 	slowIncrease = 1.02
 	nearCeiling  = 0.7
@@ -55,7 +57,7 @@
 	// minRate is the lowest rate in bytes per second: enough to poll a hundred workers.
 	minRate = 25e3
 	// The budget holds what the rate allows in burstFor. Calls that cannot wait overdraw it
-	// by what the rate allows in debtFor at most.
+	// by at most what the rate allows in debtFor.
 	burstFor = 50 * time.Millisecond
 	debtFor  = 200 * time.Millisecond
 	// pollShare is the share of the rate that polls may take while the budget is used up.
@@ -63,11 +65,11 @@
 	// leaseFor has to outlast two polls.
 	pollShare  = 0.4
 	maxPollGap = 800 * time.Millisecond
-	// listShare is the share of the link and of the processor that reading the list of
-	// machines may take while orders are under way. The time between two reads grows for
-	// that, up to maxListGap.
+	// listShare is the share of the link and of the processor that reading the machine list
+	// may take while orders are under way. The time between two reads grows for that, up to
+	// maxListGap.
 	listShare = 0.05
-	// listCPUPerMachine is the processor time that a list takes per machine: 1.1 us to
+	// listCPUPerMachine is the processor time that a machine list takes per machine: 1.1 us to
 	// decode, as much again for the call, and the comparison with the known state.
 	listCPUPerMachine = 5 * time.Microsecond
 	maxListGap        = 2 * time.Second
@@ -131,11 +133,11 @@
 
 // newFlowControl returns the flow control of an owner on a host of the size.
 func newFlowControl(s Size, now time.Time) flowControl {
-	megabits, first := s.LinkMbps, s.LinkMbps
+	megabits, initial := s.LinkMbps, s.LinkMbps
 	if megabits <= 0 {
-		megabits, first = DefaultLinkMbps, initialLinkMbps
+		megabits, initial = DefaultLinkMbps, initialLinkMbps
 	}
-	f := flowControl{cores: cmp.Or(s.Cores, 1), link: megabits * bytesPerMegabit, rate: initialShare * first * bytesPerMegabit, adjustedAt: now}
+	f := flowControl{cores: cmp.Or(s.Cores, 1), link: megabits * bytesPerMegabit, rate: initialShare * initial * bytesPerMegabit, adjustedAt: now}
 	if s.Cores > 0 {
 		f.rate = min(f.rate, s.Cores*ratePerCore)
 	}
@@ -208,8 +210,8 @@
 	f.startRate += startRateWeight * (n - f.startRate)
 }
 
-// timeToSend returns how long it takes to send this many starts, at the rate of late or, if
-// none were held back yet, at the allowed rate.
+// timeToSend returns how long it takes to send this many starts, at startRate or, if none were
+// held back yet, at the allowed rate.
 func (f *flowControl) timeToSend(starts int) time.Duration {
 	n := f.startRate
 	if n == 0 {
@@ -250,7 +252,7 @@
 	return now.Add(max(d, minStartDelay))
 }
 
-// startSent counts a start with so many bytes on top of startBytes.
+// startSent counts a start that was sent, with this many bytes on top of startBytes.
 func (f *flowControl) startSent(bytes int) {
 	f.spend(startBytes + bytes)
 	f.inFlight++
@@ -280,7 +282,7 @@
 	return min(maxPollGap, time.Duration(float64(f.busyWorkers*pollBytes)/(pollShare*f.rate)*float64(time.Second)))
 }
 
-// listGap returns the shortest time between two reads of a list of so many machines while
+// listGap returns the shortest time between two reads of a machine list of this length while
 // orders are under way.
 func (f *flowControl) listGap(machines int) time.Duration {
 	byLink := time.Duration(float64(machines*machineBytes) / (listShare * f.link) * float64(time.Second))
--- a/job/follow.go
+++ b/job/follow.go
@@ -9,7 +9,7 @@
 	"amberway/platform"
 )
 
-// Settings of following the store.
+// Parameters of following the store.
 const (
 	// maxWatchWait is the longest wait of a watch, maxWatchTimeout the longest time until
 	// a watch has either been answered or failed: a node that has no answer from the store
@@ -24,9 +24,9 @@
 type watchTimes struct {
 	// wait is how long the store is asked to wait for a change.
 	wait time.Duration
-	// timeout is when the watch has failed. A kept connection that is silent for half of
-	// the time beyond the wait is given up, and a new one has the other half: even if the
-	// first connection is dead, changes arrive within the timeout.
+	// timeout is how long until the watch has failed. A kept-alive connection that is silent
+	// for half of the time beyond the wait is given up, and a new one has the other half:
+	// even if the first connection is dead, changes arrive within the timeout.
 	timeout time.Duration
 }
 
@@ -54,7 +54,7 @@
 	watchTimes
 	// batchDelay is the pause after changes, so that the next watch returns several at once.
 	batchDelay time.Duration
-	// newestOnly is for large values of which only the newest of each key counts: if a
+	// newestOnly is for large values of which only the newest of each key matters: if a
 	// watch fails, or returns several values of a key, the keys are listed instead.
 	newestOnly bool
 	log        *Logger
--- a/job/incarnation.go
+++ b/job/incarnation.go
@@ -11,7 +11,7 @@
 // own. Three things show that one incarnation has replaced another:
 //
 //   - The store's record of the name changes to another incarnation. The store orders the
-//     records of one name, so the later record is of the later incarnation.
+//     records of one name, so the later record is from the later incarnation.
 //   - An answer to a poll comes from another incarnation than the one that was asked. An answer
 //     is newer than what was known when its request was sent.
 //   - A record arrives late, after an answer of a later incarnation: its incarnation is already
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// wasReplaced reports whether the record is of an incarnation that was replaced, and logs that
-// it is ignored.
+// wasReplaced reports whether the record is of an incarnation that was replaced, and if so logs
+// that it is ignored.
 func (c *Core) wasReplaced(v platform.Worker) bool {
 	r, ok := c.replaced[v.ID]
 	if ok {
@@ -139,7 +139,7 @@
 }
 
 // answeredBy returns the worker that answered a request to w: w itself, or a later incarnation
-// if it has restarted since. It returns false if the answer is of an incarnation that was
+// if it has restarted since. It returns false if the answer is from an incarnation that was
 // already replaced, and so proves nothing.
 func (c *Core) answeredBy(w *worker, o platform.ReportedStart) (*worker, bool) {
 	if !differ(w.ID.Incarnation(), o.Incarnation) {
@@ -157,12 +157,12 @@
 		c.addWorker(by)
 		c.markRosterDirty(by)
 	}
-	c.replaceWorker(w, by, "its answer has a later start time")
+	c.replaceWorker(w, by, "its answer has another start time")
 	return by, true
 }
 
-// checkAnswerer reports whether an answer is of the worker that was asked. A later incarnation
-// is polled on its own, as the request was not meant for it.
+// checkAnswerer reports whether an answer is from the worker that was asked. A later incarnation
+// is polled separately, as the request was not meant for it.
 func (c *Core) checkAnswerer(w *worker, o platform.ReportedStart) bool {
 	if o.InvalidReason != "" && !w.invalidStartLogged {
 		w.invalidStartLogged = true
--- a/job/intake.go
+++ b/job/intake.go
@@ -17,7 +17,7 @@
 	// intakeBatch is the maximum number of jobs in one write. Each takes two conditions
 	// and one entry of a transaction.
 	intakeBatch = platform.MaxTxn / 3
-	// intakeRetry is the delay before a write is retried whose answer was lost.
+	// intakeRetry is the delay before a write whose answer was lost is retried.
 	intakeRetry = 100 * time.Millisecond
 )
 
@@ -62,7 +62,7 @@
 	select {
 	case i.queue <- a:
 	default:
-		return common.NotRun, errors.New("too many jobs wait to be written")
+		return common.NotRun, errors.New("too many jobs are waiting to be written")
 	}
 	select {
 	case v := <-a.outcome:
@@ -163,7 +163,7 @@
 		}
 		rest = append(rest, a)
 	}
-	i.settle(done, common.Ran, "there already", 0)
+	i.settle(done, common.Ran, "already stored", 0)
 	if len(done) == 0 {
 		// The conflict is within the batch: two entries are the same job. Write them one
 		// after the other.
--- a/job/lasting.go
+++ b/job/lasting.go
@@ -8,10 +8,10 @@
 
 // Delays before a lasting task whose run ended by itself starts again.
 const (
-	// longRunRestartDelay follows a run that went on for at least shortRun.
+	// longRunRestartDelay applies after a run that went on for at least shortRun.
 	longRunRestartDelay = 20 * time.Millisecond
-	// shortRunRestartDelay follows a shorter run, so that a task which always fails does not
-	// use up all starts. The platform allows three seconds.
+	// shortRunRestartDelay applies after a shorter run, so that a task which always fails does
+	// not use up all starts. The platform allows three seconds until the restart.
 	shortRunRestartDelay = 600 * time.Millisecond
 	// shortRun is the time below which a run counts as short.
 	shortRun = 2 * time.Second
@@ -37,7 +37,7 @@
 	return longRunRestartDelay
 }
 
-// evacuate stops the lasting runs on a worker that is to be emptied, as far as the disruption
+// evacuate stops the lasting runs on a worker that is being drained, as far as the disruption
 // budgets of their steps allow it now. It reports whether there are none left.
 func (c *Core) evacuate(w *worker) bool {
 	if c.now.Before(c.evacuateFrom) {
@@ -56,7 +56,7 @@
 			c.deferStop(r)
 			continue
 		}
-		c.stop(r, "its worker is to be emptied")
+		c.stop(r, "its worker is being drained")
 	}
 	return empty
 }
--- a/job/listing.go
+++ b/job/listing.go
@@ -13,8 +13,8 @@
 // may be on a slow clock.
 const inheritedLease = ownerAuthority + leaseFor + 500*time.Millisecond
 
-// relistedWithin is how long after an outage of the store the records of live workers are back.
-// The platform documents about two seconds.
+// relistedWithin is how long it takes after an outage of the store until the records of live
+// workers are back. The platform documents about two seconds.
 const relistedWithin = 2500 * time.Millisecond
 
 // ownerAuthority is how long an owner goes on giving orders after the store's last answer.
@@ -87,7 +87,7 @@
 	c.addWorker(w)
 	c.emit(LogLine{What: "worker listed", Worker: v.ID, Fields: []any{"service", v.Service, "host", v.Host, "draining", v.Draining}})
 	if before != nil && before.hadRecord {
-		c.replaceWorker(before, w, "its record has a later start time")
+		c.replaceWorker(before, w, "its record has another start time")
 	}
 	if !c.dormant(w) {
 		c.markRosterDirty(w)
@@ -150,7 +150,7 @@
 
 // shuttingDown reports whether the worker is about to end: its record says that it drains, or
 // the record has been gone for long although the store answered all the while. Some workers
-// never announce their end, and serve on for as long.
+// never announce their end, and like the others go on running for a while.
 func (c *Core) shuttingDown(w *worker) bool {
 	if w.listed {
 		return w.Draining
@@ -159,7 +159,8 @@
 }
 
 // recordGone reports whether an unlisted worker has had time to write its record again since it
-// was unlisted or became known, and since the store was last back. A live worker would have.
+// was unlisted or became known, and since the store was last back. A live worker would have
+// done so.
 func (c *Core) recordGone(w *worker) bool {
 	since := latest(latest(w.unlistedAt, w.knownSince), c.storeBackAt)
 	return c.ownedUntil.After(since.Add(relistedWithin))
@@ -201,7 +202,8 @@
 	clear(c.stalePools)
 }
 
-// expireLease drops the runs of a silent worker once its lease has expired.
+// expireLease drops the runs of a silent worker once its lease has expired, and removes the
+// worker if it is unlisted.
 func (c *Core) expireLease(w *worker) {
 	if c.loseRemoved(w) {
 		return
--- a/job/load.go
+++ b/job/load.go
@@ -13,7 +13,8 @@
 )
 
 // watchBatchDelay is the pause after changes before the next watch, so that one call
-// returns several. Each call is paid for, and a job has some hundred milliseconds to spare.
+// returns several. Each call to the store costs money, and a job has some hundred milliseconds
+// to spare.
 const watchBatchDelay = 20 * time.Millisecond
 
 // listRevisions are the revisions of the lists, from which to watch for changes.
@@ -41,7 +42,7 @@
 
 // load reads the state that a new owner takes over. The lists can be read in parallel: each
 // is either written by owners only, and the store rejects writes of earlier owners by now,
-// or watched from the revision of its list on. Read one after the other, they took 2.4 s
+// or watched from the revision of its list on. Reading them one after the other took 2.4 s
 // from a slow store.
 func (o *owner) load(ctx context.Context, config *platform.Config) (Inherited, listRevisions, error) {
 	e := Inherited{Config: config, Progress: map[ID]Progress{}, WavesEnded: map[int64]bool{}, WavesBegan: map[int64][]string{}}
@@ -109,12 +110,12 @@
 
 // loadAdmissionPolicy decodes the policy of the previous owner.
 func (o *owner) loadAdmissionPolicy(v platform.Entry, e *Inherited) {
-	f, err := decodeAdmissionPolicy(v)
+	p, err := decodeAdmissionPolicy(v)
 	if err != nil {
-		o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
+		o.log.Write(LogLine{What: "store entry invalid", Why: err.Error()})
 		return
 	}
-	e.Admission = f
+	e.Admission = p
 }
 
 func (o *owner) loadProgress(ctx context.Context, e *Inherited) error {
@@ -125,7 +126,7 @@
 	for _, v := range l {
 		id, p, err := decodeProgress(v)
 		if err != nil {
-			o.log.Write(LogLine{What: "entry not understood", Job: id, Why: err.Error()})
+			o.log.Write(LogLine{What: "store entry invalid", Job: id, Why: err.Error()})
 			continue
 		}
 		e.Progress[id] = p
@@ -168,7 +169,7 @@
 func (o *owner) loadWaveBegan(v platform.Entry, e *Inherited) {
 	n, began, err := decodeWaveBegan(v)
 	if err != nil {
-		o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
+		o.log.Write(LogLine{What: "store entry invalid", Why: err.Error()})
 		return
 	}
 	e.WavesBegan[n] = began
@@ -182,7 +183,7 @@
 	for _, v := range l {
 		w, err := platform.DecodeWave(v)
 		if err != nil {
-			o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
+			o.log.Write(LogLine{What: "store entry invalid", Why: err.Error()})
 			continue
 		}
 		e.Waves = append(e.Waves, w)
@@ -203,7 +204,7 @@
 	}
 	id, r, err := decodeRecord(v)
 	if err != nil {
-		o.log.Write(LogLine{What: "entry not understood", Job: id, Why: err.Error()})
+		o.log.Write(LogLine{What: "store entry invalid", Job: id, Why: err.Error()})
 		return nil
 	}
 	return Accepted{ID: id, Record: r, Created: v.Revision}
@@ -212,7 +213,7 @@
 func (o *owner) decodeWorker(v platform.Entry) (platform.Worker, bool) {
 	w, err := platform.DecodeWorker(v)
 	if err != nil {
-		o.log.Write(LogLine{What: "entry not understood", Why: err.Error()})
+		o.log.Write(LogLine{What: "store entry invalid", Why: err.Error()})
 	}
 	return w, err == nil
 }
--- a/job/logger.go
+++ b/job/logger.go
@@ -34,7 +34,7 @@
 	now     func() time.Time
 	mu      sync.Mutex
 	kinds   map[string]*logKind
-	// flushed is closed once the lines that waited at the end are written.
+	// flushed is closed once the lines that were queued at the end are written.
 	flushed chan struct{}
 }
 
@@ -50,8 +50,8 @@
 	LogLine
 }
 
-// NewLogger returns a Logger that writes to l until done is closed, and then the lines that
-// still wait.
+// NewLogger returns a Logger that writes to l until done is closed, and then writes the lines
+// that are still queued.
 func NewLogger(l *logrus.Logger, now func() time.Time, done <-chan struct{}) *Logger {
 	j := &Logger{
 		logger:  l,
@@ -90,7 +90,7 @@
 	return k
 }
 
-// queue reports whether there was room for the line.
+// queue queues the line, and reports whether there was room for it.
 func (j *Logger) queue(l line) bool {
 	select {
 	case j.lines <- l:
@@ -105,8 +105,8 @@
 	return j.dropped.Load()
 }
 
-// Flush waits until the lines that were queued before done was closed are written. It gives
-// up after the time, since nobody may read the log.
+// Flush waits until the lines that were queued before done was closed are written. It gives up
+// after the given time, as writes block if whatever reads the log has stopped.
 func (j *Logger) Flush(within time.Duration) {
 	select {
 	case <-j.flushed:
@@ -114,7 +114,7 @@
 	}
 }
 
-// flush writes the lines that wait, and a report of dropped lines.
+// flush writes the queued lines, and a report of dropped lines.
 func (j *Logger) flush() {
 	for len(j.lines) > 0 {
 		j.print(<-j.lines)
--- a/job/machine_orders.go
+++ b/job/machine_orders.go
@@ -13,8 +13,8 @@
 }
 
 // finishOrder clears the order of a machine that is up in a list requested after the
-// platform accepted the order. An order that had been carried out before leaves the machine
-// as it was.
+// platform accepted the order. A repeated order that was carried out already leaves the machine
+// as it is.
 func (c *Core) finishOrder(m *machine, listSentAt time.Time) {
 	o := m.order
 	if o == nil || o.acceptedAt.IsZero() || listSentAt.Before(o.acceptedAt.Add(orderVisibleAfter)) || m.State != platform.MachineUp {
@@ -141,7 +141,7 @@
 		!c.now.Before(m.retryAt) && !c.now.Before(c.noOrdersUntil[m.Name])
 }
 
-// recentlyOrdered returns the machines that have an order or got one within handoverPause.
+// recentlyOrdered returns the machines that have an order or got one in the last handoverPause.
 func (c *Core) recentlyOrdered() []string {
 	var l []string
 	for n, m := range c.machinesByName {
--- a/job/machines.go
+++ b/job/machines.go
@@ -7,7 +7,7 @@
 	"amberway/platform"
 )
 
-// Intervals and delays of lists of machines and of orders to them.
+// Intervals and delays of machine lists and of orders to machines.
 const (
 	// handoverPause is how long a machine that got an order from the previous owner gets
 	// none: two holders may not alternate within three seconds.
@@ -16,11 +16,11 @@
 	// before it sends orders to machines.
 	firstOrderDelay = 300 * time.Millisecond
 	// evacuationDelay is how long a new owner evacuates no lasting tasks: a run that the
-	// previous owner stopped is still listed while it stops, which takes 0.4 s, and a poll
-	// from that time must not show the task as ready any more.
+	// previous owner stopped is still listed for the 0.4 s that the stop takes, and a poll from
+	// that time shows the task as ready for another pollFreshFor.
 	evacuationDelay = pollFreshFor + 600*time.Millisecond
-	// listEvery is the interval between reads of the list of machines while orders are under
-	// way, listIdleEvery otherwise.
+	// listEvery is the interval between reads of the machine list while orders are under way,
+	// listIdleEvery otherwise.
 	listEvery     = 600 * time.Millisecond
 	listIdleEvery = 4 * time.Second
 	// listAfterSilence is the delay of a read after a worker has become silent. The list
@@ -38,7 +38,7 @@
 type machines struct {
 	orderBudget orderBudget
 	holder      string
-	// ordersFrom is when the owner knows enough to send orders. heldUntil holds back orders
+	// ordersFrom is when the owner knows enough to send orders. noOrdersUntil holds back orders
 	// to machines that got one from the previous owner.
 	ordersFrom    time.Time
 	noOrdersUntil map[string]time.Time
@@ -63,14 +63,14 @@
 	retryAt time.Time
 	// orderedAt is when an order was last sent to it.
 	orderedAt time.Time
-	// drainingSince is since when it gets no new runs, as it is being emptied.
+	// drainingSince is since when it is being drained and gets no new runs.
 	drainingSince time.Time
 	// transferTo is the pool that the machine is to move to once it is empty.
 	transferTo string
-	// missedLists counts the consecutive lists of machines without it.
+	// missedLists counts the consecutive machine lists without it.
 	missedLists int
-	// unknownWorkerSince is since when the list names a worker there that the owner does not
-	// know, or has removed.
+	// unknownWorkerSince is since when the machine list names a worker there that the owner
+	// does not know, or has removed.
 	unknownWorkerSince time.Time
 }
 
@@ -93,7 +93,7 @@
 	acceptedAt time.Time
 }
 
-// ListMachines reads the list of machines.
+// ListMachines reads the machine list.
 type ListMachines struct{}
 
 // MoveMachine orders the platform to move a machine to another pool.
@@ -141,8 +141,8 @@
 	}
 }
 
-// reconcileMachines reads the list of machines if that is due, and sends the orders that
-// waves and pools need.
+// reconcileMachines reads the machine list if that is due, and sends the orders that waves and
+// pools need.
 func (c *Core) reconcileMachines() {
 	if !c.listing && !c.now.Before(c.listAt) {
 		c.listing = true
@@ -166,7 +166,7 @@
 	}
 	if e.Err != nil {
 		c.listAt = c.now.Add(orderRetry)
-		c.emit(LogLine{What: "machines not listed", Why: e.Err.Error()})
+		c.emit(LogLine{What: "machine list not read", Why: e.Err.Error()})
 		return
 	}
 	for _, v := range e.Machines {
@@ -191,9 +191,9 @@
 	return c.flow.listGap(len(c.machinesByName))
 }
 
-// checkIncarnation marks the workers of a machine as stale that it does not run any more by
-// the list. A stale worker that is silent is removed at once. A worker that was heard of after
-// the list was requested may have started since, and is skipped.
+// checkIncarnation marks as stale the workers that, by the machine list, the machine no longer
+// runs. A stale worker that is silent is removed at once. A worker that was heard from after the
+// list was requested may have started since, and is skipped.
 func (c *Core) checkIncarnation(m *machine, listSentAt time.Time) {
 	for _, w := range slices.Clone(c.workersByHost[m.Name]) {
 		other := m.Worker != w.ID.Name()
@@ -202,7 +202,7 @@
 		}
 		w.stale = other
 		if w.stale && w.missedPolls > 0 {
-			c.removeWorker(w, "its machine runs another incarnation or none, by the list of machines")
+			c.removeWorker(w, "its machine runs another worker or none, by the machine list")
 		}
 	}
 }
--- a/job/metrics.go
+++ b/job/metrics.go
@@ -135,7 +135,7 @@
 	s.orders.Add(context.Background(), 1, s.labels.of(labelOrder, kind, out)...)
 }
 
-// labelSets caches the label sets of counters that are updated up to thousands of times a
+// labelSets caches the label sets of counters that are updated up to thousands of times per
 // second. Building a set for each update took 4 % of an owner's processor time at 480
 // starts a second. The cache is bounded, since the label values are.
 type labelSets struct {
@@ -158,8 +158,8 @@
 )
 
 // of returns the label set with the values.
-func (l *labelSets) of(form labelKind, first, next string) []metric.AddOption {
-	k := labelKey{kind: form, first: first, second: next}
+func (l *labelSets) of(kind labelKind, first, second string) []metric.AddOption {
+	k := labelKey{kind: kind, first: first, second: second}
 	l.mu.RLock()
 	o, ok := l.sets[k]
 	l.mu.RUnlock()
--- a/job/node.go
+++ b/job/node.go
@@ -36,8 +36,8 @@
 // DefaultConfigWithin is the limit that the known platforms require.
 const DefaultConfigWithin = 2 * time.Second
 
-// Node handles the jobs of one entry host: it accepts jobs, tells their state, and is the
-// owner of all jobs while it holds the owner's lease.
+// Node handles jobs on one entry host: it accepts them, reports their states, and owns all jobs
+// while it holds the owner's lease.
 type Node struct {
 	Clients
 	settings       Settings
@@ -126,8 +126,8 @@
 	}
 }
 
-// followOperator follows what operators write: it puts configurations in force, and tells
-// an owner here of configurations and waves.
+// followOperator follows what operators write: it puts configurations in force, and passes
+// configurations and waves on to the owner if it runs here.
 func (n *Node) followOperator(ctx context.Context) {
 	apply := func(e platform.Entry) {
 		if e.Key == platform.ConfigKey {
@@ -174,25 +174,25 @@
 	}
 }
 
-// applyConfig puts a configuration in force, given as the operator wrote it, unless one as
-// new already is.
+// applyConfig puts a configuration in force, given as the operator wrote it, unless the one in
+// force is at least as new.
 func (n *Node) applyConfig(raw []byte) {
-	d, err := platform.DecodeConfig(raw)
+	c, err := platform.DecodeConfig(raw)
 	if err != nil {
-		n.log.Write(LogLine{What: "configuration not understood", Why: err.Error()})
+		n.log.Write(LogLine{What: "configuration invalid", Why: err.Error()})
 		return
 	}
-	r := newRoutes(d)
+	r := newRoutes(c)
 	r.raw = raw
 	if !n.swapRoutes(r) {
 		return
 	}
-	n.log.Write(LogLine{What: "configuration", Fields: []any{"version", d.Version, "queues", len(d.Queues), "teams", len(d.Teams), "keys", len(r.keys)}})
-	n.tellOwner(ConfigChanged{Config: d})
+	n.log.Write(LogLine{What: "configuration", Fields: []any{"version", c.Version, "queues", len(c.Queues), "teams", len(c.Teams), "keys", len(r.keys)}})
+	n.tellOwner(ConfigChanged{Config: c})
 }
 
-// swapRoutes puts the routes of a configuration in force. It reports false if one as new
-// already is: the store and another entry host may both provide it.
+// swapRoutes puts the routes of a configuration in force. It returns false if the one in force
+// is at least as new: the store and another entry host may both provide it.
 func (n *Node) swapRoutes(r *routes) bool {
 	for {
 		o := n.routes.Load()
@@ -211,7 +211,7 @@
 	}
 	w, err := platform.DecodeWave(e)
 	if err != nil {
-		n.log.Write(LogLine{What: "wave not understood", Why: err.Error()})
+		n.log.Write(LogLine{What: "wave invalid", Why: err.Error()})
 		return
 	}
 	n.tellOwner(WaveRequested{Wave: w})
@@ -244,11 +244,11 @@
 	n.owner, n.resign = o, cancel
 	n.mu.Unlock()
 	n.metrics.takeovers.Add(ctx, 1)
-	var d *platform.Config
+	var c *platform.Config
 	if r := n.routes.Load(); r != nil {
-		d = r.config
+		c = r.config
 	}
-	why := o.run(tenureCtx, d)
+	why := o.run(tenureCtx, c)
 	n.mu.Lock()
 	n.owner, n.resign = nil, nil
 	n.mu.Unlock()
