--- a/job/admission_policy.go
+++ b/job/admission_policy.go
@@ -190,9 +190,9 @@
 }
 
 // refusedUntil returns when the caller of a refused job may retry and why the job is refused,
-// or false if it is admitted. A policy outlives its owner until the next owner publishes its own: on
-// a narrow link a takeover takes seconds, and jobs accepted meanwhile would queue behind the
-// backlog that the policy was made for.
+// or false if it is admitted. A policy outlives its owner until the next owner publishes its
+// own: on a narrow link a takeover takes seconds, and jobs accepted meanwhile would queue
+// behind the backlog that the policy was made for.
 func (e *election) refusedUntil(id ID, c caller) (at time.Time, why string, limited bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/job/flow.go
+++ b/job/flow.go
@@ -27,8 +27,8 @@
 	decreaseFloor    = 0.5
 	decreaseCooldown = 300 * time.Millisecond
 	// The rate is multiplied by fastIncrease when starts were held back and responses came in
-	// time, but by slowIncrease if it is above nearCeiling of the ceiling, the rate from which
-	// it last fell.
+	// time, but by slowIncrease if it is above nearCeiling of the ceiling, the rate before the
+	// last congestion episode.
 	fastIncrease = 1.15
 	slowIncrease = 1.02
 	nearCeiling  = 0.7
--- a/job/incarnation.go
+++ b/job/incarnation.go
@@ -119,7 +119,7 @@
 
 // replaceWorker replaces an earlier incarnation by a later one. All runs that the earlier one is
 // known to have carried out are over. Starts that it may not have carried out may still reach
-// the later one, so it is polled before their tasks start elsewhere.
+// the later one, which is therefore polled before their tasks start elsewhere.
 func (c *Core) replaceWorker(w, by *worker, why string) {
 	unsettled := 0
 	for _, r := range w.runs {
