--- a/job/listing.go
+++ b/job/listing.go
@@ -63,7 +63,7 @@
 }
 
 // markUnconfigured excludes a worker whose service is not in the configuration. Its record may
-// have another writer, and nothing would ever run there.
+// come from another writer to the store, and nothing would ever run there.
 func (c *Core) markUnconfigured(v platform.Worker) {
 	WorkerUnlisted{Name: v.ID.Name()}.apply(c)
 	c.unconfigured[v.ID.Name()] = v
