--- a/job/order_budget.go
+++ b/job/order_budget.go
@@ -10,10 +10,10 @@
 // Settings of the rate limit on orders to machines.
 const (
 	// defaultOrderRate is the limit in orders per second where the settings give none: the
-	// lowest of the platforms in use.
+	// lowest limit of the platforms in use.
 	defaultOrderRate = 64
 	// ordersBurst is the time over which unused orders add up to a burst: pools are planned
-	// every tenth of a second, and a shift of the load needs some dozen machines at once.
+	// every tenth of a second, and a shift of the load needs dozens of machines at once.
 	ordersBurst = time.Second
 	// orderReserve is the fraction of the burst that is reserved for pools that lack machines.
 	// Orders that release machines to the spare pool can wait.
@@ -44,8 +44,8 @@
 	return max(1, b.perSecond*ordersBurst.Seconds())
 }
 
-// allows reports whether an order may be sent so that the reserve, a fraction of the burst,
-// is left.
+// allows reports whether an order may be sent that leaves at least the reserve, a fraction
+// of the burst.
 func (b *orderBudget) allows(now time.Time, reserve float64) bool {
 	b.refill(now, b.perSecond, b.burst())
 	return !now.Before(b.pausedUntil) && b.tokens-1 >= reserve*b.burst()
--- a/job/orders.go
+++ b/job/orders.go
@@ -17,7 +17,7 @@
 	// refusedPause is the delay before a refused task is tried on another worker.
 	refusedPause = 20 * time.Millisecond
 	// settleAfter is how long an unconfirmed start may remain unlisted before the run is
-	// stopped, and the delay before a stop is repeated.
+	// stopped, and the delay before an order to stop is repeated.
 	settleAfter = 300 * time.Millisecond
 	// settlePoll is the interval of polls that are to settle the state of a lasting run.
 	settlePoll = 100 * time.Millisecond
@@ -84,7 +84,7 @@
 	c.orderStop(r.worker, r.task.key().String(), r.number)
 }
 
-// logStopRetry logs that an order to stop is repeated, as no response came.
+// logStopRetry logs that an order to stop is repeated, as no answer came.
 func (c *Core) logStopRetry(r *run) {
 	fields := []any{"sent", r.stopAttempts, "decided_ms", c.now.Sub(r.stopAt).Milliseconds()}
 	c.logRun(r, "stop sent again", "", append(fields, c.stopInputs(r)...))
@@ -101,7 +101,7 @@
 }
 
 // reconcileRuns sends the orders to stop that are due on a worker: for unconfirmed starts that
-// do not get listed, for stops without a response, and for orphans.
+// do not get listed, for stops without an answer, and for orphans.
 func (c *Core) reconcileRuns(w *worker) {
 	for _, r := range w.runs {
 		if r.phase == unconfirmed && c.now.After(r.knownAt.Add(settleAfter)) && c.maySettle(r) {
--- a/job/orphan.go
+++ b/job/orphan.go
@@ -13,8 +13,8 @@
 type orphan struct {
 	// stopPending reports whether a stop order is in flight.
 	stopPending bool
-	// job is the run's job, or nil if it is not known; resources are what the run takes of the
-	// job's team's cap.
+	// job is the run's job, or nil if it is not known; usage is what the run takes of the
+	// cap of the job's team.
 	job   *job
 	usage platform.Resources
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-// charge charges the run to its team's cap n times; -1 takes it back.
+// charge counts the run towards its team's cap: 1 adds it, -1 removes it.
 func (o *orphan) charge(n int64) {
 	if o.job == nil {
 		return
--- a/job/owner.go
+++ b/job/owner.go
@@ -18,22 +18,22 @@
 	// renewEvery is the interval at which the owner's lease is renewed: four times in its
 	// time to live.
 	renewEvery = ownerTTL / 4
-	// renewTimeout bounds one renewal. Half of it goes to a kept connection, the rest to
-	// a new one. A renewal is sent every renewEvery, whether or not the last was answered,
-	// on a connection of its own, so that the lease is renewed in time even if a silent
-	// connection costs one of them its first half. A shorter half would take answers that
-	// a full link delays for silence: each of them cost a new connection, which was
-	// delayed as much.
+	// renewTimeout bounds one renewal. Half of it goes to a kept-alive connection, the rest
+	// to a new one. A renewal is sent every renewEvery, whether or not the last was
+	// answered, on a connection of its own, so that the lease is renewed in time even if a
+	// silent connection costs one of them its first half. With a shorter half, an answer
+	// that a full link delayed was mistaken for silence and cost a new connection, which
+	// was delayed as much.
 	renewTimeout = 4 * ownerTTL / 5
 	// maxSuspended is the longest total time for which an owner's host may have been
-	// suspended. The owner's clock is behind by as much, so that it extends leases of
-	// workers for too long; inheritedLease allows for half a second of that.
+	// suspended. The owner's clock falls behind by that time, so that it extends workers'
+	// leases by as much too far; inheritedLease allows for half a second of that.
 	maxSuspended = 300 * time.Millisecond
 	// maxBatch is the most events that are applied before tasks are placed.
 	maxBatch = 256
 	// stepEvery is the minimum time between two steps. Events that arrive within it are
-	// applied together: an owner of 350 workers gets 1,500 events a second, and some
-	// hundred milliseconds do not matter to a job.
+	// applied together: an owner of 350 workers gets 1,500 events a second, and a job can
+	// spare some hundred milliseconds.
 	stepEvery = 4 * time.Millisecond
 )
 
@@ -143,7 +143,8 @@
 	return o.resignReason
 }
 
-// loadDone follows Inherited: from then on the owner answers requests about jobs.
+// loadDone is posted after Inherited: once it is applied, the owner answers requests about
+// jobs.
 type loadDone struct {
 	o *owner
 }
@@ -152,7 +153,7 @@
 	e.o.loaded.Store(true)
 }
 
-// resign ends the ownership; the first reason counts.
+// resign ends the ownership. Only the first reason is kept.
 func (o *owner) resign(why string) {
 	o.resignOnce.Do(func() {
 		o.resignReason = why
@@ -240,8 +241,8 @@
 	return o.core.Step(o.now(), b)
 }
 
-// whySuspended is the reason of an owner whose host was suspended: meanwhile the monotonic
-// clock stood still, by which it reckons its own lease and those of workers.
+// whySuspended is the reason of an owner whose host was suspended: the monotonic clock, by
+// which it measures its own lease and those of workers, stood still meanwhile.
 const whySuspended = "this host was suspended"
 
 // whyStoreUnreachable is the reason of an owner that the store has not answered in time.
@@ -290,7 +291,7 @@
 	return o.suspended() - o.tenure.suspended
 }
 
-// sinceRenewal returns how long ago at most the last successful renewal was sent.
+// sinceRenewal returns an upper bound of the time since the last successful renewal was sent.
 func (o *owner) sinceRenewal() time.Duration {
 	return o.now().Sub(o.renewedAt.Get()) + o.suspendedFor()
 }
--- a/job/pace.go
+++ b/job/pace.go
@@ -6,16 +6,17 @@
 	"amberway/platform"
 )
 
-// Limits of the control loop that keeps latency-sensitive tasks below their targets.
+// Limits of the control loop that keeps the tail latency of latency-sensitive tasks below its
+// target.
 const (
 	// pacedPollWait bounds how long a worker holds a poll while best-effort and
-	// latency-sensitive tasks share it. Reported tails cover half a second.
+	// latency-sensitive tasks share it. Reported tail latencies cover half a second.
 	pacedPollWait = 500 * time.Millisecond
 	// paceSettle is how long a change of pace takes to show: a tenth of a second until it is in
-	// effect and half a second until the reported tails are new.
+	// effect and half a second until the reported tail latencies are new.
 	paceSettle = 650 * time.Millisecond
-	// tailHigh and tailLow are the fractions of a target above which the pace falls and below
-	// which it rises.
+	// tailHigh and tailLow are the fractions of a latency target above which the pace falls
+	// and below which it rises.
 	tailHigh = 0.9
 	tailLow  = 0.6
 	// paceStep is how many percent the pace rises at a time. fullPace is its maximum, with which
@@ -31,9 +32,9 @@
 type pacing struct {
 	// pace is the last pace ordered, in percent.
 	pace int
-	// paceRetryAt is when the pace has to be ordered again, or zero. An owner does not know the
-	// pace of a run that it adopts. latePaceUntil is the time until which an order that was not
-	// answered may still be carried out.
+	// paceRetryAt is when the pace has to be ordered again, or zero. It is set for an adopted
+	// run as well, whose pace the owner does not know. latePaceUntil is the time until which an
+	// order that was not answered may still be carried out.
 	paceRetryAt, latePaceUntil time.Time
 }
 
@@ -81,8 +82,9 @@
 	return bestEffort, sensitive
 }
 
-// scoreShared lowers a worker's score if the task would be a best-effort one beside
-// latency-sensitive ones, or the other way round.
+// scoreShared returns by how much a worker's score is lowered, as a negative number, if a
+// best-effort task of the step would run beside latency-sensitive ones, or the other way round.
+// Other best-effort tasks count against a best-effort task as well, but less.
 func (c *Core) scoreShared(w *worker, s *step) int64 {
 	if !s.BestEffort && !s.latencySensitive() {
 		return 0
@@ -97,7 +99,7 @@
 	return 0
 }
 
-// adjustPace sets the pace of the best-effort tasks on a worker by the tails of its
+// adjustPace sets the pace of the best-effort tasks on a worker by the tail latencies of its
 // latency-sensitive tasks: down at once, up again slowly. Without any latency-sensitive tasks it
 // rises to full pace as well.
 func (c *Core) adjustPace(w *worker) {
@@ -120,7 +122,7 @@
 	}
 }
 
-// worstTail returns the longest reported tail on the worker as a fraction of its target.
+// worstTail returns the worst tail latency reported on the worker, as a fraction of its target.
 func (w *worker) worstTail() float64 {
 	worst := 0.0
 	for _, r := range w.runs {
@@ -154,7 +156,7 @@
 	Err       error
 }
 
-// apply handles an order to set a pace that may not have been carried out.
+// apply has the pace ordered again unless the order was carried out.
 func (e PaceResult) apply(c *Core) {
 	w := c.successor(e.Worker)
 	if w == nil || (e.Err == nil && e.Rejection == platform.Accepted) {
--- a/job/peer.go
+++ b/job/peer.go
@@ -18,7 +18,7 @@
 
 // Timeouts of requests between entry hosts.
 const (
-	// peerTimeout bounds one query. Entry hosts are a millisecond apart. A kept
+	// peerTimeout bounds one query. Entry hosts are a millisecond apart. A kept-alive
 	// connection has half of it, and a new one the rest.
 	peerTimeout = 400 * time.Millisecond
 	// relayTimeout bounds the acceptance or cancelling of a job through another entry host,
@@ -32,7 +32,7 @@
 // peerConns is the most idle connections kept to one entry host.
 const peerConns = 4
 
-// peers is the client of other entry hosts.
+// peers is a client for requests to other entry hosts.
 type peers struct {
 	client common.HTTPClient
 }
@@ -41,8 +41,8 @@
 	return &peers{client: common.NewHTTPClient(common.Limits{MaxIdlePerAddress: peerConns})}
 }
 
-// ask sends one query to the owner, and repeats it on a new connection if a kept one is
-// silent.
+// ask sends one query to the owner, and repeats it on a new connection if a kept-alive one
+// is silent.
 func (p *peers) ask(ctx context.Context, o Owner, path string) (common.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/job/perform.go
+++ b/job/perform.go
@@ -11,12 +11,12 @@
 // Timeouts of calls to workers.
 const (
 	// orderTimeout is the timeout of a start, stop or pace: a fifth of a worker's lease, so
-	// that a start whose response was lost is settled well before the lease expires. Workers
-	// respond within a few milliseconds.
+	// that a start whose answer was lost is settled well before the lease expires. Workers
+	// answer within a few milliseconds.
 	orderTimeout = leaseFor / 5
-	// pollSlack is how much longer than its wait a poll may take. A kept-alive connection
-	// that does not respond has half of it, and a new connection the rest. The poll after
-	// that still extends a lease of leaseFor within its first half.
+	// pollSlack is how much longer than its wait a poll may take. A silent kept-alive
+	// connection has half of it, and a new one the rest. The poll after one that times out
+	// still extends a lease of leaseFor within its first half.
 	pollSlack = 700 * time.Millisecond
 )
 
--- a/job/place.go
+++ b/job/place.go
@@ -92,7 +92,7 @@
 }
 
 // placeStep starts as many of the step's tasks as have room and may be sent now. It reports
-// false if no worker has room for another one, whatever its labels.
+// false if the step is unconstrained and no worker has room for another of its tasks.
 func (c *Core) placeStep(free []*worker, s *step) bool {
 	for x := s.firstIdle; x < len(s.tasks) && s.idle > 0; x++ {
 		t := s.tasks[x]
--- a/job/poll.go
+++ b/job/poll.go
@@ -34,7 +34,8 @@
 	case w.lastEndSeen > w.lastEndStored && c.writesFailing:
 		return w.nextPollAt
 	case w.lastEndSeen > w.lastEndStored:
-		// The next poll follows the write, so that it acknowledges the ends.
+		// The next poll waits for the write, so that it acknowledges the ends, but not for
+		// longer than pollWait.
 		return latest(w.nextPollAt, w.pollSentAt.Add(pollWait))
 	case len(w.runs) > 0 || len(w.orphans) > 0:
 		return w.nextPollAt
@@ -150,9 +151,9 @@
 	}
 }
 
-// relistAfterSilence has the machine list read soon after a worker has fallen silent, as the list shows
-// whether it crashed. If its machine has an order, silence is expected, and the list is not read
-// more often than the link allows.
+// relistAfterSilence has the machine list read soon after a worker has fallen silent, as the list
+// shows whether it crashed. If its machine has an order, silence is expected, and the list is not
+// read more often than the link allows.
 func (c *Core) relistAfterSilence(w *worker) {
 	if m := c.machinesByName[w.Host]; m != nil && m.order != nil && m.order.recorded {
 		c.listAt = earliest(c.listAt, c.now.Add(max(listAfterSilence, c.listGap())))
--- a/job/pools.go
+++ b/job/pools.go
@@ -8,7 +8,7 @@
 	"amberway/platform"
 )
 
-// Parameters of pools. Keeping a host in a pool costs about as much a second as one move.
+// Parameters of pools. Keeping a host in a pool for a second costs about as much as one move.
 const (
 	// poolIdleTimeout is how long a host beyond its pool's demand stays idle before it
 	// moves to the spare pool.
@@ -144,7 +144,8 @@
 }
 
 // transferHosts takes hosts from pools with a surplus while tasks of the demand's pool wait
-// for room. Idle hosts move at once. Others drain first, unless they run lasting tasks.
+// for room. Idle hosts move at once, others drain first. Hosts that run lasting tasks are not
+// taken.
 func (c *Core) transferHosts(d *demand, plan []demand) {
 	c.reconcileTransfers(d)
 	for i := len(plan) - 1; i >= 0 && d.have < d.want && d.hasUnplaced; i-- {
--- a/job/progress.go
+++ b/job/progress.go
@@ -18,7 +18,7 @@
 	// FinalAt is when the job reached its final state.
 	FinalAt time.Time `json:"t,omitzero"`
 	// Instances holds those instances of the job of which a task has ended, by number.
-	// All tasks of instances below Past are done.
+	// All tasks of instances below OldestInstance are done.
 	Instances      map[int]InstanceProgress `json:"i,omitempty"`
 	OldestInstance int                      `json:"p,omitempty"`
 	// Leftover describes runs of a final job that have yet to end. It is nil if there are
@@ -27,7 +27,7 @@
 }
 
 // LeftoverRuns tells what unfinished runs of a final job count against its team's cap. The
-// next owner may find such runs on workers when the job's record is deleted already.
+// next owner may find such runs on workers after the job's record was deleted.
 type LeftoverRuns struct {
 	Team    string `json:"m"`
 	Service string `json:"s"`
--- a/job/query.go
+++ b/job/query.go
@@ -7,7 +7,7 @@
 )
 
 // StateOf returns the state of a job as shown to callers. A final state is shown only once
-// it is stored; for a cancelled job the stored request to cancel is enough.
+// it is stored; for a cancelled job the stored cancel mark is enough.
 func (c *Core) StateOf(id ID) (platform.JobState, bool) {
 	j := c.jobs[id]
 	if j == nil {
--- a/job/refusals.go
+++ b/job/refusals.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxRefusals is how many refused jobs a host remembers: those of some minutes on a busy
-// host.
+// maxRefusals is how many refused jobs a host remembers: about as many as a busy host refuses
+// in some minutes.
 const maxRefusals = 1024
 
 // Reasons for refusing a job, as shown to operators who ask about the job.
--- a/job/roster.go
+++ b/job/roster.go
@@ -13,10 +13,9 @@
 )
 
 // Keys of the roster, which is stored in shards, one key each: with every move of a host, of
-// which there are some forty a second, one worker comes or goes. Written as one value, the
-// roster of 372 workers took 37 kB each time, half of all that an owner sent: 22.0 of 42.2 MB
-// on a quiet day of 17,672 starts, compared with 2.0 MB for the progress of jobs. A shard
-// then holds some six workers in half a kilobyte.
+// which there are some forty a second, one worker comes or goes. Written as one value, a
+// roster of 372 workers took 37 kB each time, half of all that an owner sent. A shard of it
+// holds some six workers in half a kilobyte.
 const (
 	// ownerOnlyPrefix is the prefix of all keys that only owners write, other than the
 	// progress of jobs.
@@ -122,14 +121,14 @@
 func (r rosterChanges) split() (now, later rosterChanges) {
 	now.ordered = r.ordered
 	n := 0
-	for p, changed := range r.shards {
+	for shard, changed := range r.shards {
 		switch {
 		case !changed:
 		case n < maxShardsPerWrite:
-			now.shards[p] = true
+			now.shards[shard] = true
 			n++
 		default:
-			later.shards[p] = true
+			later.shards[shard] = true
 		}
 	}
 	return now, later
@@ -164,14 +163,14 @@
 	}
 }
 
-// markRosterDirty has the worker's shard of the roster written, with or without the worker.
-// A worker gets its first start only after that.
+// markRosterDirty has the worker's shard of the roster written, with the worker unless it is
+// offRoster. A worker gets its first start only after that.
 func (c *Core) markRosterDirty(w *worker) {
 	c.roster.shards[rosterShard(w.ID)] = true
 	c.writeSoon()
 }
 
-// markOrderedDirty has the shard written of a machine that is to get an order.
+// markOrderedDirty has the shard of a machine that is to get an order written.
 func (c *Core) markOrderedDirty(m *machine) {
 	c.roster.ordered[orderedShard(m.Name)] = true
 	c.writeSoon()
@@ -199,13 +198,13 @@
 	}
 	var names [orderedShards][]string
 	for _, n := range c.recentlyOrdered() {
-		p := orderedShard(n)
-		names[p] = append(names[p], n)
+		shard := orderedShard(n)
+		names[shard] = append(names[shard], n)
 	}
-	for p, changed := range k.changes.ordered {
+	for shard, changed := range k.changes.ordered {
 		if changed {
-			k.machines = append(k.machines, names[p]...)
-			c.addJSON(k, orderedShardKey(p), names[p])
+			k.machines = append(k.machines, names[shard]...)
+			c.addJSON(k, orderedShardKey(shard), names[shard])
 		}
 	}
 }
@@ -217,15 +216,15 @@
 	}
 	var entries [rosterShards][]RosterEntry
 	for id, w := range c.workers {
-		if p := rosterShard(id); k.changes.shards[p] && !w.offRoster {
-			entries[p] = append(entries[p], rosterEntryOf(w))
+		if shard := rosterShard(id); k.changes.shards[shard] && !w.offRoster {
+			entries[shard] = append(entries[shard], rosterEntryOf(w))
 			k.workers = append(k.workers, w)
 		}
 	}
-	for p, changed := range k.changes.shards {
+	for shard, changed := range k.changes.shards {
 		if changed {
-			slices.SortFunc(entries[p], func(a, b RosterEntry) int { return strings.Compare(string(a.ID), string(b.ID)) })
-			c.addJSON(k, rosterShardKey(p), entries[p])
+			slices.SortFunc(entries[shard], func(a, b RosterEntry) int { return strings.Compare(string(a.ID), string(b.ID)) })
+			c.addJSON(k, rosterShardKey(shard), entries[shard])
 		}
 	}
 }
@@ -242,11 +241,11 @@
 
 // requeueRoster has the roster's shards in a failed write written again.
 func (c *Core) requeueRoster(k *storeWrite) {
-	for p, failed := range k.changes.shards {
-		c.roster.shards[p] = c.roster.shards[p] || failed
+	for shard, failed := range k.changes.shards {
+		c.roster.shards[shard] = c.roster.shards[shard] || failed
 	}
-	for p, failed := range k.changes.ordered {
-		c.roster.ordered[p] = c.roster.ordered[p] || failed
+	for shard, failed := range k.changes.ordered {
+		c.roster.ordered[shard] = c.roster.ordered[shard] || failed
 	}
 }
 
--- a/job/shares.go
+++ b/job/shares.go
@@ -8,10 +8,8 @@
 
 // A team's weight is its share: how many jobs a second it may submit while there is more
 // work than capacity. Jobs beyond that wait behind those of other teams and are refused
-// first. Limiting what a team has running instead leaves capacity idle that nobody else
-// needs: it cost 0.024 +/- 0.015 of the benchmark score when a team sent five times its
-// usual load and the others left room for it. When teams sent eight and twelve times theirs,
-// both ways gained about as much: +0.036 +/- 0.017 this way, +0.044 +/- 0.017 the other.
+// first. Limiting what a team has running instead would leave capacity idle that nobody else
+// needs.
 
 // Parameters of shares.
 const (
@@ -25,15 +23,15 @@
 	// lower bound of the fraction.
 	teamFractionIncrease = 1.1
 	minTeamFraction      = 0.05
-	// teamFractionTolerance is the change of a fraction from which on it is published.
+	// teamFractionTolerance is the smallest change of a fraction that is published.
 	teamFractionTolerance = 0.1
 )
 
 // share tracks how much of its share a team has used.
 type share struct {
-	// tokenBucket holds the number of jobs that it may submit now.
+	// tokenBucket holds the number of jobs that the team may submit now.
 	tokenBucket
-	// sent counts its accepted jobs since the last evaluation, beyond those of them that
+	// sent counts its accepted jobs since the last evaluation, overShare those of them that
 	// exceeded its share.
 	sent, overShare int
 	// fraction is the fraction of its jobs, from 0 to 1, that is admitted while admission
@@ -83,8 +81,8 @@
 func (l *teams) adjustFractions(before, limited bool) map[string]float64 {
 	fractions := map[string]float64{}
 	for n, t := range l.byName {
-		if p := t.share.adjust(before && limited); p < 1 && limited {
-			fractions[n] = p
+		if f := t.share.adjust(before && limited); f < 1 && limited {
+			fractions[n] = f
 		}
 	}
 	return fractions
--- a/job/slow.go
+++ b/job/slow.go
@@ -17,7 +17,7 @@
 	// considered slow. One task in a thousand takes as long by chance.
 	slowRunFactor = 2.5
 	// slowRunFactorAlone is the same against the expected run time, if there are no other runs
-	// to compare with. No estimate is off by as much.
+	// to compare with. No estimate is off by that much.
 	slowRunFactorAlone = 8
 	// minSlowSamples is the minimum number of other runs to compare with.
 	minSlowSamples = 2
--- a/job/speed.go
+++ b/job/speed.go
@@ -15,7 +15,7 @@
 	// speedSamples is the number of recent samples that determine the present speed. The
 	// fastest counts, since the others may have been interrupted.
 	speedSamples = 3
-	// slowFactor is how many times slower than its best a host is when it leaves
+	// slowFactor is how many times slower than its best a host has to be to leave
 	// ownership to others.
 	slowFactor = 3
 )
--- a/job/stall.go
+++ b/job/stall.go
@@ -8,7 +8,7 @@
 	// report whole percents of tasks that take one or two seconds.
 	stallAfter = 1500 * time.Millisecond
 	// stallShare bounds the same for longer tasks: they may make no progress for their expected
-	// run time divided by it.
+	// run time divided by stallShare.
 	stallShare = 10
 	// warmUp is how long a lasting task may take to become ready. The slowest take a second and
 	// a half.
--- a/job/state.go
+++ b/job/state.go
@@ -85,7 +85,8 @@
 	// notBefore delays the next start after a run ended early, crashed its worker or was
 	// refused.
 	notBefore time.Time
-	// unavailableSince is when a lasting task stopped being ready. It is zero while it is ready.
+	// unavailableSince is when a lasting task was first started or stopped being ready. It is
+	// zero while the task is ready.
 	unavailableSince time.Time
 	// ready reports whether a lasting task is ready, by its worker's last answer.
 	ready bool
@@ -150,7 +151,9 @@
 	percent int
 	// adoptedPercent is the progress at which the owner adopted the run.
 	adoptedPercent int
-	level          float64
+	// level is the tail latency of a latency-sensitive run in milliseconds, or the thousandths of
+	// a core that another run uses.
+	level float64
 	// progressAt is when percent last changed.
 	progressAt time.Time
 	// reportedAt is when its worker last reported its progress.
@@ -240,7 +243,7 @@
 	n.remaining--
 }
 
-// noTaskEnded reports whether no task has ended, neither well nor by failure or crash.
+// noTaskEnded reports whether no task has succeeded, failed or crashed its worker.
 func (n *instance) noTaskEnded() bool {
 	for _, s := range n.steps {
 		if s.remaining < len(s.tasks) {
--- a/job/storehealth.go
+++ b/job/storehealth.go
@@ -28,8 +28,8 @@
 	reported bool
 }
 
-// record records the outcome of a write that was sent at a time. It reports whether the store
-// has become unreachable, or reachable again, by that.
+// record records the outcome of a write that was sent at the time sent. It reports whether this
+// shows that the store has become unreachable, or reachable again.
 func (r *storeHealth) record(sent, now time.Time, ok bool) (gone, back bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/job/takeover.go
+++ b/job/takeover.go
@@ -13,14 +13,14 @@
 // takeover is the part of an owner's state that is about earlier owners and the next one.
 type takeover struct {
 	// uncontacted holds the services with workers that have not answered this owner yet
-	// and on which runs of an earlier owner may continue, with when that was first found.
+	// and on which runs of an earlier owner may continue, with the time of that finding.
 	uncontacted map[string]time.Time
 	roster      rosterChanges
 	// rosterUnknownUntil is when all runs of earlier owners must have ended. It is set if
 	// part of the roster could not be read.
 	rosterUnknownUntil time.Time
-	// earlierOrdersUntil is until when workers may still carry out orders of an earlier
-	// owner. A worker that has restarted does not know the fence that would refuse them.
+	// earlierOrdersUntil is the time until which workers may still carry out orders of an
+	// earlier owner. A worker that has restarted does not know the fence that would refuse them.
 	earlierOrdersUntil time.Time
 	// stepped reports whether the first step was made. The time before it does not count
 	// as a pause: the owner loads the inherited state, and then checks its ownership.
@@ -121,9 +121,9 @@
 	if c.now.Before(c.rosterUnknownUntil) {
 		return false
 	}
-	_, waits := c.uncontacted[j.queue.Service]
-	_, waited := c.uncontacted[j.Service]
-	return !waits && !waited
+	_, pending := c.uncontacted[j.queue.Service]
+	_, pendingAtSubmission := c.uncontacted[j.Service]
+	return !pending && !pendingAtSubmission
 }
 
 // updateUncontacted finds the services with inherited workers that have not answered this
@@ -131,12 +131,12 @@
 func (c *Core) updateUncontacted() {
 	previous := c.uncontacted
 	c.uncontacted = map[string]time.Time{}
-	var room uncontactedCapacity
+	var capacity uncontactedCapacity
 	for _, w := range c.workers {
 		if !w.inherited || w.contacted || c.leaseExpired(w) {
 			continue
 		}
-		room.add(w)
+		capacity.add(w)
 		if _, counted := c.uncontacted[w.Service]; counted {
 			continue
 		}
@@ -152,7 +152,7 @@
 			c.emit(LogLine{What: "inherited jobs resume", Fields: []any{"service", s, "waited_ms", c.now.Sub(since).Milliseconds()}})
 		}
 	}
-	c.countUncontacted(room)
+	c.countUncontacted(capacity)
 }
 
 // uncontactedCapacity is the total capacity of inherited workers that have not answered.
--- a/job/teams.go
+++ b/job/teams.go
@@ -22,7 +22,8 @@
 	// that some of its usage has been released since.
 	waitingServices map[string]bool
 	unblocked       bool
-	// counted is the demand that limitToCap has granted it in the round.
+	// counted is the demand that limitToCap has granted it in the count with the number
+	// round.
 	counted platform.Resources
 	round   int
 	share   share
@@ -145,8 +146,8 @@
 	l.round++
 }
 
-// limitToCap returns how many of n tasks fit below the team's cap, beside its usage and what
-// was granted earlier in this round. Hosts for more tasks would stay idle.
+// limitToCap returns how many of n tasks fit below the team's cap, beside the given usage and
+// what was granted earlier in this round. Hosts for more tasks would stay idle.
 func (t *team) limitToCap(usage, need platform.Resources, n int64) int64 {
 	if t == nil || n == 0 || t.Cap == (platform.Resources{}) {
 		return n
@@ -191,7 +192,7 @@
 // that have not been contacted: all tasks without a known run of jobs that may have runs
 // there, but no more than the capacity of those workers, if it is known. Counting this
 // against the cap until the workers answer keeps teams within their caps across owners.
-func (c *Core) countUncontacted(room uncontactedCapacity) {
+func (c *Core) countUncontacted(capacity uncontactedCapacity) {
 	for _, t := range c.teams.byName {
 		if t.uncontactedUsage != (platform.Resources{}) {
 			t.uncontactedUsage = platform.Resources{}
@@ -208,10 +209,10 @@
 	for _, j := range c.teams.endedUncontacted {
 		c.addUncontacted(j)
 	}
-	if room.unknown || c.now.Before(c.rosterUnknownUntil) {
+	if capacity.unknown || c.now.Before(c.rosterUnknownUntil) {
 		return
 	}
 	for _, t := range c.teams.byName {
-		t.uncontactedUsage = t.uncontactedUsage.Min(room.Resources)
+		t.uncontactedUsage = t.uncontactedUsage.Min(capacity.Resources)
 	}
 }
--- a/job/waves.go
+++ b/job/waves.go
@@ -19,11 +19,11 @@
 // waveDrainAhead is how many machines are drained beyond the number that may be down.
 const waveDrainAhead = 2
 
-// wavePrefix begins the store keys that hold the machines of a wave whose maintenance has
-// begun.
+// wavePrefix is the prefix of the store keys that hold the machines of a wave whose
+// maintenance has begun.
 const wavePrefix = ownerOnlyPrefix + "wave/"
 
-// wave is a maintenance wave: machines to be maintained, no more than a cap at a time.
+// wave is a maintenance wave: machines to be maintained, no more than MaxDown at a time.
 type wave struct {
 	platform.Wave
 	endsAt time.Time
@@ -110,7 +110,7 @@
 	return n, l, nil
 }
 
-// reconcileWaves resends orders without a response, and orders the maintenance of the next
+// reconcileWaves resends orders without an answer, and orders the maintenance of the next
 // machines of each wave.
 func (c *Core) reconcileWaves() {
 	for _, m := range c.machinesByName {
@@ -178,8 +178,8 @@
 }
 
 // machinesDown counts the machines of the wave that are or may be down: those with an order
-// of this owner, and those that are in maintenance or down by the list, such as by an order of
-// an earlier owner.
+// of this owner, and those that are in maintenance or down by the machine list, for instance
+// through an order of an earlier owner.
 func (c *Core) machinesDown(v *wave) int {
 	n := len(v.down)
 	for _, name := range v.Machines {
--- a/job/worker.go
+++ b/job/worker.go
@@ -62,7 +62,7 @@
 	// that its record is about to be removed.
 	stale bool
 	// inherited reports whether an earlier owner may have started runs on it; inRoster, whether
-	// the store holds that this owner may have.
+	// the stored roster says that this owner may have.
 	inherited, inRoster bool
 	// offRoster reports whether it was taken off the roster again, as nothing runs there and its
 	// machine has an order.
@@ -111,7 +111,7 @@
 	// too many, or after a slow or stalled run.
 	failures         int
 	quarantinedUntil time.Time
-	// isolatedUntil blocks starts while an isolated task has just started there.
+	// isolatedUntil blocks other starts for a while after an isolated task was started there.
 	isolatedUntil time.Time
 	// cordoned reports whether its machine is to be moved or maintained.
 	cordoned bool
