--- a/job/perform.go
+++ b/job/perform.go
@@ -15,8 +15,8 @@
 	// answer within a few milliseconds.
 	orderTimeout = leaseFor / 5
 	// pollSlack is how much longer than its wait a poll may take. A silent kept-alive
-	// connection has half of it, and a new one the rest. The poll after one that times out
-	// still extends a lease of leaseFor within its first half.
+	// connection has half of it, and a new one the rest. The poll after one that took
+	// this long still extends a lease of leaseFor within its first half.
 	pollSlack = 700 * time.Millisecond
 )
 
--- a/job/roster.go
+++ b/job/roster.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// markRosterDirty has the worker's shard of the roster written, with the worker unless it is
-// offRoster. A worker gets its first start only after that.
+// markRosterDirty has the worker's shard of the roster written, without the worker if it is gone
+// or offRoster. A worker gets its first start only after that.
 func (c *Core) markRosterDirty(w *worker) {
 	c.roster.shards[rosterShard(w.ID)] = true
 	c.writeSoon()
