--- a/job/admission_policy_test.go
+++ b/job/admission_policy_test.go
@@ -94,7 +94,7 @@
 }
 
 // An entry host enforces the policy of the current owner and, until that has published one,
-// the policy of the owner before, but not for longer than admissionTTL. A job that is
+// the policy of the previous owner, but not for longer than admissionTTL. A job that is
 // already stored is never refused.
 func TestPolicyRefusesJobsUnlessStored(t *testing.T) {
 	s := newStoreFixture(t)
@@ -153,7 +153,7 @@
 	require.Contains(t, f.publishedPolicy().Admissions, quick)
 }
 
-// A new owner without a backlog lifts the limits of the owner before.
+// A new owner without a backlog lifts the limits of the previous owner.
 func TestNextOwnerLiftsLimitsWithoutBacklog(t *testing.T) {
 	f := newFixture(t)
 	f.step(Inherited{Config: testConfig(), Admission: AdmissionPolicy{Fence: 50, Admissions: map[int]Admission{quick: {Fraction: 0.9}}}})
@@ -213,15 +213,15 @@
 // simulate advances the time with twice as much work as the link carries, and records how
 // long jobs wait for their first start.
 func (h *herd) simulate(d time.Duration) {
-	begun := map[ID]bool{}
+	started := map[ID]bool{}
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.arrive(2)
 		h.pass(tickEvery)
 		for _, s := range h.starts() {
 			h.acceptStart(s)
 			id, _, _ := strings.Cut(s.Order.Task, ".")
-			if !begun[ID(id)] {
-				begun[ID(id)] = true
+			if !started[ID(id)] {
+				started[ID(id)] = true
 				h.startDelays = append(h.startDelays, h.now.Sub(h.cameAt[ID(id)]))
 			}
 		}
@@ -229,9 +229,8 @@
 }
 
 // An owner whose link carries some 150 starts a second must accept no more jobs than can
-// start soon. Admitting all or nothing, half of the accepted jobs started only within 4.5 s
-// with a limit of 4 s of pending starts, and within 3.5 s with 1.5 s; with an admitted
-// fraction they start within 1.1 s.
+// start soon. Admission of all jobs or none of a queue let the median delay until the first
+// start grow to 3.5 s and more.
 func TestAdmittedJobsStartSoonOnANarrowLink(t *testing.T) {
 	h := newHerd(t)
 	h.simulate(40 * time.Second)
--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -17,18 +17,18 @@
 // moved from the first to the second.
 func TestWarmingRunIsNotStoppedWhileOthersAreUnavailable(t *testing.T) {
 	f := newFixture(t)
-	at := threeReady(f)
+	runs := threeReady(f)
 	f.join("w4")
 	f.drain("w1")
 	f.pass(2 * tickEvery)
 	require.Len(t, f.stops(), 1, "the run on w1 is stopped")
-	moved := f.moveFrom("w1", at)
-	delete(at, "w2")
+	moved := f.moveFrom("w1", runs)
+	delete(runs, "w2")
 	percent := 0
 	warm := func(d time.Duration) {
 		for end := f.now.Add(d); f.now.Before(end); {
 			f.pass(200 * time.Millisecond)
-			f.pollAll(at)
+			f.pollAll(runs)
 			if _, ok := f.polls[moved.Worker.ID]; ok && percent < 90 {
 				percent += 5
 				f.answer(string(moved.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(moved, percent)}})
@@ -45,12 +45,12 @@
 
 // moveFrom has the run on the worker end as stopped, and returns the start that follows
 // elsewhere.
-func (f *fixture) moveFrom(id platform.WorkerID, at map[platform.WorkerID]StartRun) StartRun {
+func (f *fixture) moveFrom(id platform.WorkerID, runs map[platform.WorkerID]StartRun) StartRun {
 	if _, ok := f.polls[id]; !ok {
-		f.step(StopResult{Worker: id, Run: at[id].Order.Run, Task: at[id].Order.Task, Clock: f.clock})
+		f.step(StopResult{Worker: id, Run: runs[id].Order.Run, Task: runs[id].Order.Task, Clock: f.clock})
 	}
-	f.answer(string(id), platform.PollReply{Ended: []platform.EndedRow{ended(1, at[id], platform.EndStopped)}})
-	delete(at, id)
+	f.answer(string(id), platform.PollReply{Ended: []platform.EndedRow{ended(1, runs[id], platform.EndStopped)}})
+	delete(runs, id)
 	f.pass(tickEvery)
 	l := f.starts()
 	require.Len(f.t, l, 1)
@@ -58,22 +58,23 @@
 	return l[0]
 }
 
-// missPolls has w2 miss so many polls that its task of threeReady may be unavailable. The task
-// of w1 is started on w4, and the start is not answered yet.
-func missPolls(f *fixture) (at map[platform.WorkerID]StartRun, moved StartRun) {
-	at = threeReady(f)
+// missPolls drains w1, whose task of threeReady is then started on w4. That start is not
+// answered yet. The returned runs are without w2: its polls stay unanswered, so that its task
+// may be unavailable.
+func missPolls(f *fixture) (runs map[platform.WorkerID]StartRun, moved StartRun) {
+	runs = threeReady(f)
 	f.join("w4")
 	f.drain("w1")
 	f.pass(2 * tickEvery)
-	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Clock: f.clock})
-	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, at["w1"], platform.EndStopped)}})
+	f.step(StopResult{Worker: "w1", Run: runs["w1"].Order.Run, Task: runs["w1"].Order.Task, Clock: f.clock})
+	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, runs["w1"], platform.EndStopped)}})
 	f.pass(tickEvery)
 	l := f.starts()
 	require.Len(f.t, l, 1)
-	delete(at, "w1")
-	delete(at, "w2")
+	delete(runs, "w1")
+	delete(runs, "w2")
 	f.out = nil
-	return at, l[0]
+	return runs, l[0]
 }
 
 // answerLate answers the poll in flight, which was sent the given time ago.
@@ -89,13 +90,13 @@
 // to stop it, no matter how old the poll was and how many other tasks were unavailable.
 func TestUnconfirmedStartIsStoppedOnlyWhenKnownAbsent(t *testing.T) {
 	f := newFixture(t)
-	at, moved := missPolls(f)
+	runs, moved := missPolls(f)
 	f.pass(pollFreshFor)
-	f.pollAll(at)
+	f.pollAll(runs)
 	f.loseStartReply(moved)
 	for range 2 {
 		f.pass(400 * time.Millisecond)
-		f.pollAll(at)
+		f.pollAll(runs)
 		if _, ok := f.polls["w4"]; ok {
 			f.answerLate("w4", 400*time.Millisecond, platform.PollReply{})
 		}
@@ -107,15 +108,15 @@
 	require.Len(t, f.stops(), 1, "it is known to be absent now")
 }
 
-// The same for a run that makes no progress, as it may go on at any time.
+// A run that makes no progress may resume at any time, and be ready when the stop arrives.
 func TestStalledRunIsStoppedOnlyWhenKnownUnready(t *testing.T) {
 	f := newFixture(t)
-	at, moved := missPolls(f)
+	runs, moved := missPolls(f)
 	f.acceptStart(moved)
 	reply := platform.PollReply{Running: []platform.RunningRow{runningRow(moved, 40)}}
 	for range 9 {
 		f.pass(400 * time.Millisecond)
-		f.pollAll(at)
+		f.pollAll(runs)
 		if _, ok := f.polls["w4"]; ok {
 			f.answerLate("w4", 400*time.Millisecond, reply)
 		}
@@ -152,16 +153,16 @@
 // and the run was ready.
 func TestRepeatedStopChecksDisruptionBudgetAgain(t *testing.T) {
 	f := newFixture(t)
-	at := threeReady(f)
-	w1 := at["w1"]
+	runs := threeReady(f)
+	w1 := runs["w1"]
 	f.join("w4")
 	f.drain("w1")
 	f.pass(2 * tickEvery)
 	require.Len(t, f.stops(), 1)
-	delete(at, "w2")
-	f.passReady(at, pollFreshFor)
+	delete(runs, "w2")
+	f.passReady(runs, pollFreshFor)
 	f.step(StopResult{Worker: "w1", Run: w1.Order.Run, Task: w1.Order.Task, Err: common.ErrUnknownOutcome})
-	f.passReady(at, time.Second)
+	f.passReady(runs, time.Second)
 	require.Len(t, f.stops(), 1, "it is ready, and the task on w2 may be unavailable")
 	require.Len(t, f.logged("stop withdrawn"), 1)
 }
@@ -169,16 +170,16 @@
 // Two stops that were not answered must not wait for one another forever.
 func TestUnansweredStopsDoNotDeadlock(t *testing.T) {
 	f := newFixture(t)
-	at := threeReady(f)
+	runs := threeReady(f)
 	f.join("w4")
 	for _, id := range []platform.WorkerID{"w1", "w2"} {
-		r := f.core.workers[id].runs[runID{task: taskKey{id: idA, index: at[id].index()}, number: at[id].Order.Run}]
+		r := f.core.workers[id].runs[runID{task: taskKey{id: idA, index: runs[id].index()}, number: runs[id].Order.Run}]
 		f.core.stop(r, "its worker is to be emptied")
 		r.stopPending = false
 		f.drain(id)
 	}
 	f.out = nil
-	f.passReady(at, maxOrderDelay+2*time.Second)
+	f.passReady(runs, maxOrderDelay+2*time.Second)
 	require.Len(t, f.stops(), 1)
 }
 
--- a/job/cancel_test.go
+++ b/job/cancel_test.go
@@ -56,7 +56,7 @@
 }
 
 // The worker is silent until its lease has expired, so that its runs are given up. If it lists one
-// of them later, that is stopped at once.
+// of them later, that run is stopped at once.
 func TestCancelledRunThatWasGivenUpIsStoppedWhenListed(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -109,7 +109,7 @@
 	}
 }
 
-// A worker that first answers the next owner late may have carried out orders of the removed owner
+// A worker that first answers the next owner late may have carried out orders of the previous owner
 // until then. All runs that it lists are stopped.
 func TestRunOnWorkerThatAnswersLaterIsStopped(t *testing.T) {
 	f := newOwnerFixture(t, 200)
@@ -169,11 +169,11 @@
 	lastClock := f.clock
 	f.pass(time.Minute)
 	f.submit(idA, "quick", oneTask())
-	u := f.starts()[0].Order.LeaseUntil
-	slow := lastClock + platform.WorkerClock(0.98*float64(f.clock-lastClock))
-	most := inheritedLease - ownerAuthority
-	require.LessOrEqual(t, time.Duration(float64(u-slow)/0.98)*time.Millisecond, most)
-	require.GreaterOrEqual(t, time.Duration(u-f.clock)*time.Millisecond, leaseFor/2, "the next poll is sent at once and extends it")
+	leaseUntil := f.starts()[0].Order.LeaseUntil
+	slowClock := lastClock + platform.WorkerClock(0.98*float64(f.clock-lastClock))
+	longest := inheritedLease - ownerAuthority
+	require.LessOrEqual(t, time.Duration(float64(leaseUntil-slowClock)/0.98)*time.Millisecond, longest)
+	require.GreaterOrEqual(t, time.Duration(leaseUntil-f.clock)*time.Millisecond, leaseFor/2, "the next poll is sent at once and extends it")
 }
 
 // Polls that do not wait would be sent in a tight loop while the run stops.
--- a/job/capacity_test.go
+++ b/job/capacity_test.go
@@ -9,10 +9,10 @@
 	"amberway/platform"
 )
 
-// shrunk returns the record of worker w1 with a reduced capacity, in thousandths of a core.
-func shrunk(cores int64) WorkerListed {
+// shrunk returns the record of worker w1 with a reduced capacity.
+func shrunk(milliCores int64) WorkerListed {
 	w := testWorker("w1")
-	w.Capacity.MilliCores = cores
+	w.Capacity.MilliCores = milliCores
 	return WorkerListed{Worker: w}
 }
 
--- a/job/core_test.go
+++ b/job/core_test.go
@@ -20,7 +20,7 @@
 	t    *testing.T
 	core *Core
 	now  time.Time
-	// out holds the actions that were not yet taken.
+	// out holds the actions so far. Helpers such as starts remove those that they return.
 	out   []Action
 	polls map[platform.WorkerID]PollWorker
 	// holdWrites leaves writes unanswered.
@@ -153,7 +153,7 @@
 	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Err: err})
 }
 
-// starts takes the orders to start that were not yet taken.
+// starts removes the orders to start from out, and returns them.
 func (f *fixture) starts() []StartRun {
 	var l []StartRun
 	var rest []Action
@@ -299,17 +299,17 @@
 	l := f.starts()
 	f.acceptStart(l[0])
 	f.join("w2")
-	begun := f.now
+	began := f.now
 	f.fail("w1", platform.ErrUnknown)
 	for len(f.starts()) == 0 {
-		require.Less(t, f.now.Sub(begun), 2*leaseFor, "the run is never given up")
+		require.Less(t, f.now.Sub(began), 2*leaseFor, "the run is never given up")
 		f.pass(tickEvery)
 		if _, ok := f.polls["w1"]; ok {
 			require.Zero(t, f.polls["w1"].Order.LeaseUntil, "a poll of a silent worker extends its lease")
 			f.fail("w1", platform.ErrUnknown)
 		}
 	}
-	require.GreaterOrEqual(t, f.now.Sub(begun), leaseFor)
+	require.GreaterOrEqual(t, f.now.Sub(began), leaseFor)
 }
 
 // An owner that cannot reach the store may have been replaced, and the next one may have
@@ -413,7 +413,7 @@
 	require.Empty(t, f.starts())
 	require.Equal(t, platform.StateRunning, f.state())
 	s := f.stops()
-	require.Len(t, s, 1, "a run of no job is stopped")
+	require.Len(t, s, 1, "a run of an unknown job is stopped")
 	require.EqualValues(t, 8, s[0].Run)
 }
 
--- a/job/crash_lasting_test.go
+++ b/job/crash_lasting_test.go
@@ -12,22 +12,22 @@
 
 // A lasting job failed, and four ready tasks on healthy workers were stopped, because three
 // hosts crashed within a few seconds, each a moment after the job's fifth task had started
-// there. The task had not caused the crashes. A limit for short tasks must not apply to one
-// that meets crashes of hosts for as long as it lasts.
+// there. The task had not caused the crashes. The crash limit is meant for short tasks: a
+// lasting task meets crashes of hosts for as long as it lasts.
 
 // crashTask has the given number of workers crash just after they have started the same task,
 // and returns the starts of the other tasks of its step, which are ready.
 func crashTask(f *fixture, crashes int) map[platform.WorkerID]StartRun {
-	at := map[platform.WorkerID]StartRun{}
+	runs := map[platform.WorkerID]StartRun{}
 	f.join("w1", "w2", "w3", "w4")
 	s := oneTask()
 	s.Count, s.MaxPerWorker, s.Lasting, s.MaxUnavailable = 5, 1, true, 1
 	f.submit(idA, "patient", s)
 	for _, r := range f.starts() {
 		f.acceptStart(r)
-		at[r.Worker.ID] = r
+		runs[r.Worker.ID] = r
 	}
-	f.passReady(at, stableAfter)
+	f.passReady(runs, stableAfter)
 	for n := range crashes {
 		id := fmt.Sprint("crashes-", n)
 		f.join(id)
@@ -37,16 +37,16 @@
 		f.acceptStart(l[0])
 		f.fail(id, platform.ErrOtherIncarnation)
 	}
-	return at
+	return runs
 }
 
 func TestLastingJobSurvivesHostCrashes(t *testing.T) {
 	f := newFixture(t)
-	at := crashTask(f, crashLimit)
+	runs := crashTask(f, crashLimit)
 	require.Equal(t, platform.StateRunning, f.state())
 	require.Empty(t, f.stops(), "the others are ready")
 	f.join("w5")
-	f.passReady(at, restartWithin)
+	f.passReady(runs, restartWithin)
 	require.Len(t, f.starts(), 1, "the task runs again in time")
 }
 
@@ -54,7 +54,7 @@
 // again.
 const restartWithin = 6 * time.Second
 
-// A task that does crash its workers costs one of them each maxCrashBackoff in the end.
+// The backoff of a task that does crash its workers grows to one crash per maxCrashBackoff.
 func TestLastingTaskThatCrashesWorkersBacksOff(t *testing.T) {
 	f := newCrashing(t, 4)
 	s := oneTask()
--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -42,7 +42,7 @@
 // addWorker adds a worker that has answered.
 func (f *crashing) addWorker() {
 	f.workers++
-	f.join(fmt.Sprint("life-", f.workers))
+	f.join(fmt.Sprint("worker-", f.workers))
 }
 
 // applyWrites applies the writes since the last call to the stored progress.
@@ -163,7 +163,7 @@
 	require.Equal(t, platform.StateSucceeded, f.stored[idB].State)
 }
 
-// Counts in the memory of one owner only would let the next one start from zero.
+// If an owner counted crashes in its memory only, the next one would start from zero.
 func TestIsolatedTaskWaitsUntilItsCrashesAreStored(t *testing.T) {
 	f := newCrashing(t, 4)
 	f.submit(idA, "patient", oneTask())
@@ -199,7 +199,7 @@
 	s.Lasting = true
 	f.submit(idA, "patient", s)
 	for n := range 2 * crashLimitShared {
-		id := fmt.Sprint("life-", n)
+		id := fmt.Sprint("worker-", n)
 		f.join(id)
 		l := f.starts()
 		require.Len(t, l, 1)
@@ -221,7 +221,7 @@
 	f.submit(idA, "patient", oneTask())
 	for n := 1; n <= crashLimitUnconfirmed; n++ {
 		require.NotEqual(t, platform.StateFailed, f.state(), "after %d crashes", n-1)
-		id := fmt.Sprint("life-", n)
+		id := fmt.Sprint("worker-", n)
 		f.join(id)
 		f.pass(tickEvery)
 		l := f.starts()
--- a/job/follow_slow_test.go
+++ b/job/follow_slow_test.go
@@ -60,7 +60,7 @@
 	at := netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	begun := time.Now()
+	began := time.Now()
 	var took time.Duration
 	f := &follower{
 		kv: platform.NewKV(at, &platform.Calls{}), prefix: "op/", newestOnly: true,
@@ -68,7 +68,7 @@
 		log:        NewLogger(logrus.New(), time.Now, ctx.Done()),
 		onList:     func([]platform.Entry) {},
 		onChange: func([]platform.Event) {
-			took = time.Since(begun)
+			took = time.Since(began)
 			cancel()
 		},
 	}
--- a/job/follow_test.go
+++ b/job/follow_test.go
@@ -41,7 +41,7 @@
 // versions took eight seconds, during which jobs for new queues were refused because the
 // queue was unknown. Only the newest version matters.
 func TestSupersededVersionsAreNotRead(t *testing.T) {
-	const versions, answer = 40, 100 * time.Millisecond
+	const versions, storeDelay = 40, 100 * time.Millisecond
 	s := newStoreFixture(t)
 	require.NoError(t, s.Put(platform.ConfigKey, 0))
 	var got seenValues
@@ -58,15 +58,15 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	s.SetFault(fleet.StoreFault{Delay: answer})
+	s.SetFault(fleet.StoreFault{Delay: storeDelay})
 	go f.run(ctx)
 	require.Eventually(t, func() bool { n, _ := got.count(); return n > 0 }, time.Second, time.Millisecond)
 	for v := range versions {
 		require.NoError(t, s.Put(platform.ConfigKey, v+1))
-		time.Sleep(answer / 10)
+		time.Sleep(storeDelay / 10)
 	}
 	last := fmt.Sprint(versions)
-	require.Eventually(t, func() bool { _, v := got.count(); return strings.TrimSpace(v) == last }, 10*answer, time.Millisecond)
+	require.Eventually(t, func() bool { _, v := got.count(); return strings.TrimSpace(v) == last }, 10*storeDelay, time.Millisecond)
 	n, _ := got.count()
 	require.Less(t, n, versions/2, "number of values read")
 }
--- a/job/incarnation_test.go
+++ b/job/incarnation_test.go
@@ -11,9 +11,9 @@
 
 // A worker may crash and restart under its name before its record expires, so that only its
 // start time tells the incarnations apart; the ids here consist of name and start time.
-// Without it the later incarnation would be taken for the earlier one: its ends, numbered from
-// one again, for ends already handled, its clock for one that went back, and the lost runs for
-// running ones until a poll does not list them.
+// An owner that took the later incarnation for the earlier one would discard its ends, which are
+// numbered from one again, as handled already. It would see a clock that goes back, and would
+// wait for the lost runs until a poll did not list them.
 
 // restartFixture is a worker that runs one task and restarts as secondIncarnation.
 type restartFixture struct {
@@ -205,7 +205,7 @@
 	last := "w1@1700000000600"
 	f.pass(settleAfter + 2*tickEvery)
 	f.answeredBy(last, 1700000000600, platform.PollReply{})
-	require.Zero(t, f.countLogged("crash counted"), "it may still be carried out")
+	require.Zero(t, f.countLogged("crash counted"), "the start may still be carried out")
 	f.pass(settleAfter + 2*tickEvery)
 	f.step(StopResult{Worker: platform.WorkerID(last), Run: f.run.Order.Run, Task: f.run.Order.Task})
 	f.pass(tickEvery)
@@ -322,7 +322,8 @@
 	require.EqualValues(t, third, f.core.current["w1"].ID)
 }
 
-// The time for reading what to take over is no pause: the owner checks its ownership afterwards.
+// The time that a takeover takes to read the store does not count as a pause: the owner checks its
+// ownership afterwards.
 func TestLongTakeoverDelaysNoStart(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c := NewCore(100, "entry-1", Size{}, now)
--- a/job/keys_test.go
+++ b/job/keys_test.go
@@ -177,8 +177,9 @@
 	return e
 }
 
-// The store refused to serve single hosts for nine seconds while keys changed. Such a host
-// must not go on with outdated keys: it gets the configuration from the owner instead.
+// The store refused to serve single hosts for nine seconds while keys changed. These hosts went
+// on accepting revoked keys and refused new ones. Such a host has to get the configuration from
+// the owner instead.
 func TestHostWithoutStoreGetsKeysFromTheOwner(t *testing.T) {
 	n := newIsolatedHost(t)
 	const within = 3 * time.Second
--- a/job/lasting_log_test.go
+++ b/job/lasting_log_test.go
@@ -38,26 +38,26 @@
 	s := oneTask()
 	s.Count, s.MaxPerWorker, s.Lasting, s.MaxUnavailable = 3, 1, true, 1
 	f.submit(idA, "quick", s)
-	at := map[platform.WorkerID]StartRun{}
+	runs := map[platform.WorkerID]StartRun{}
 	for _, r := range f.starts() {
-		at[r.Worker.ID] = r
+		runs[r.Worker.ID] = r
 		f.acceptStart(r)
 	}
-	f.passReady(at, evacuationDelay+warmUp)
-	return at
+	f.passReady(runs, evacuationDelay+warmUp)
+	return runs
 }
 
 // passReady lets time pass while all runs are reported as ready.
-func (f *fixture) passReady(at map[platform.WorkerID]StartRun, d time.Duration) {
+func (f *fixture) passReady(runs map[platform.WorkerID]StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.pass(100 * time.Millisecond)
-		f.pollAll(at)
+		f.pollAll(runs)
 	}
 }
 
 // pollAll answers the polls in flight: the runs are ready.
-func (f *fixture) pollAll(at map[platform.WorkerID]StartRun) {
-	for id, r := range at {
+func (f *fixture) pollAll(runs map[platform.WorkerID]StartRun) {
+	for id, r := range runs {
 		if _, ok := f.polls[id]; ok {
 			f.answer(string(id), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
@@ -73,7 +73,7 @@
 
 func TestLogShowsInputsOfLastingStop(t *testing.T) {
 	f := newFixture(t)
-	at := threeReady(f)
+	runs := threeReady(f)
 	f.join("w4")
 	f.drain("w1")
 	f.pass(100 * time.Millisecond)
@@ -84,14 +84,14 @@
 	require.Equal(t, true, n[0].field("at_work"))
 	f.drain("w2")
 	f.pass(100 * time.Millisecond)
-	f.pollAll(at)
+	f.pollAll(runs)
 	f.pass(100 * time.Millisecond)
 	deferred := f.logged("stop deferred")
 	require.Len(t, deferred, 1, "logged once")
-	require.Equal(t, []int{at["w1"].index()}, deferred[0].field("away_tasks"))
-	f.step(StopResult{Worker: "w1", Run: at["w1"].Order.Run, Task: at["w1"].Order.Task, Err: common.ErrUnknownOutcome})
+	require.Equal(t, []int{runs["w1"].index()}, deferred[0].field("away_tasks"))
+	f.step(StopResult{Worker: "w1", Run: runs["w1"].Order.Run, Task: runs["w1"].Order.Task, Err: common.ErrUnknownOutcome})
 	require.Len(t, f.logged("stop not answered"), 1)
-	f.passReady(at, time.Second)
+	f.passReady(runs, time.Second)
 	resent := f.logged("stop sent again")
 	require.NotEmpty(t, resent)
 	require.Equal(t, 1, resent[0].field("sent"))
--- a/job/loss_test.go
+++ b/job/loss_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestLogDistinguishesLossCauses(t *testing.T) {
-	for name, end := range map[string]struct {
+	for name, c := range map[string]struct {
 		do   func(f *fixture)
 		want loss
 	}{
@@ -38,7 +38,7 @@
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: f.core.lastRun}}})
 			f.fail("w1", platform.ErrOtherIncarnation)
 		}, lossLeft},
-		"lapse": {func(f *fixture) {
+		"lease expired": {func(f *fixture) {
 			for range 30 {
 				f.fail("w1", platform.ErrUnknown)
 				f.pass(pollRetry)
@@ -58,8 +58,8 @@
 			require.Len(t, l, 1)
 			f.acceptStart(l[0])
 			f.pass(tickEvery)
-			end.do(f)
-			require.EqualValues(t, end.want, f.lossOf())
+			c.do(f)
+			require.EqualValues(t, c.want, f.lossOf())
 		})
 	}
 }
--- a/job/machines_test.go
+++ b/job/machines_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// listMachines answers a list of machines with the given ones.
+// listMachines passes a machine list with the given machines to the owner.
 func (f *fixture) listMachines(l ...platform.Machine) {
 	f.step(MachineList{SentAt: f.now, Machines: l})
 }
@@ -256,8 +256,8 @@
 	require.Empty(t, f.stops())
 }
 
-// Tasks of a silent worker start elsewhere as soon as the list of machines shows that its machine
-// is down, long before its lease expires.
+// Tasks of a silent worker start elsewhere as soon as the machine list shows that its machine is
+// down, long before its lease expires.
 func TestMachineListRevealsCrash(t *testing.T) {
 	f := newFixture(t)
 	r := lastingOn(f)
--- a/job/order_budget_test.go
+++ b/job/order_budget_test.go
@@ -36,7 +36,7 @@
 	require.Greater(t, n, 60)
 }
 
-// A refusal holds back the next orders for a moment, as other hosts may have used up the
+// A refusal holds back the next orders for a moment, as other entry hosts may have used up the
 // platform's limit.
 func TestRefusedOrderPausesOthers(t *testing.T) {
 	f := newSpareFixture(t, 300, 40)
--- a/job/owner_test.go
+++ b/job/owner_test.go
@@ -105,14 +105,14 @@
 	s.putJob(t, idA)
 	require.NoError(t, s.Put("op/wave/3", map[string]any{"wave": 3, "machines": []string{"m"}, "within_s": 9, "cap": 1}))
 	o := s.claim(t, "owner")
-	const answer = 100 * time.Millisecond
-	s.SetFault(fleet.StoreFault{Delay: answer})
-	begun := time.Now()
+	const storeDelay = 100 * time.Millisecond
+	s.SetFault(fleet.StoreFault{Delay: storeDelay})
+	began := time.Now()
 	e, _, err := o.load(t.Context(), nil)
 	require.NoError(t, err)
 	require.Len(t, e.Jobs, 1)
 	require.Len(t, e.Waves, 1)
-	require.Less(t, time.Since(begun), 5*answer, "more round trips than two reads and the check of ownership")
+	require.Less(t, time.Since(began), 5*storeDelay, "more round trips than two reads and the check of ownership")
 }
 
 func TestReplacedOwnerThatRelistsSeesNoJob(t *testing.T) {
@@ -136,8 +136,8 @@
 	s.claim(t, "new")
 	err := old.writer.write(t.Context(), WriteStore{Number: 1, Puts: []platform.Put{{Key: "progress/x", Value: []byte("1")}}}, func() {})
 	require.ErrorIs(t, err, errDeposed)
-	_, there := s.Value("progress/x")
-	require.False(t, there)
+	_, found := s.Value("progress/x")
+	require.False(t, found)
 }
 
 func TestWriteWhoseAnswerWasLostIsRecognised(t *testing.T) {
@@ -174,8 +174,8 @@
 	defer cancel()
 	_, ok := e.campaign(ctx)
 	require.False(t, ok)
-	_, there := s.Value(ownerKey)
-	require.False(t, there)
+	_, found := s.Value(ownerKey)
+	require.False(t, found)
 }
 
 func TestOwnerSendsNothingAfterALongPause(t *testing.T) {
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// tailTarget is the target of the latency-sensitive task.
+// tailTarget is the TailTarget of the latency-sensitive task.
 const tailTarget = 100 * time.Millisecond
 
 // sharedFixture is an owner with a worker on which a best-effort task runs beside a latency-sensitive
@@ -45,7 +45,7 @@
 	return s
 }
 
-// passPolled lets time pass. Polls are answered with a tail of the given fraction of the target.
+// passPolled lets time pass. Polls report a tail latency that is the given fraction of tailTarget.
 func (s *sharedFixture) passPolled(d time.Duration, tail float64) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.pass(tickEvery)
@@ -61,7 +61,7 @@
 	}
 }
 
-// paces returns the paces ordered since the last call.
+// paces removes the orders to pace a run from out, and returns their percentages.
 func (f *fixture) paces() []int {
 	var l []int
 	var rest []Action
--- a/job/removed_list_test.go
+++ b/job/removed_list_test.go
@@ -93,7 +93,6 @@
 	require.Empty(t, f.starts())
 }
 
-// A machine list requested before a worker answered does not end that worker.
 func TestMachineListFromBeforeAnAnswerDoesNotEndTheWorker(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
@@ -120,7 +119,6 @@
 	require.Empty(t, f.starts(), "w2 lives: it answered after the list was requested")
 }
 
-// The first machine list of an owner takes no machine out of a wave.
 func TestFirstListOfAnOwnerTakesNoMachineOutOfAWave(t *testing.T) {
 	f := newFixture(t)
 	f.step(Inherited{
--- a/job/roster_test.go
+++ b/job/roster_test.go
@@ -92,8 +92,8 @@
 	require.True(t, f.core.workers["w1"].inRoster)
 }
 
-// Of 25 jobs one task each has ended. Each takes one entry of the write, where a final job
-// takes three.
+// One task of each of 25 jobs has ended. Such a job takes one entry of a write, a final job
+// three.
 func TestWriteHoldsAsManyJobsAsFit(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -27,7 +27,7 @@
 	f := newFixture(t)
 	f.step(ConfigChanged{Config: weightedConfig()})
 	f.join("w1")
-	began := map[string]int{}
+	started := map[string]int{}
 	n := 0
 	send := func(team string) {
 		n++
@@ -41,13 +41,13 @@
 		for _, s := range f.starts() {
 			f.acceptStart(s)
 			k, _ := parseTaskKey(s.Order.Task)
-			began[f.core.jobs[k.id].Team]++
+			started[f.core.jobs[k.id].Team]++
 		}
 		f.pass(100 * time.Millisecond)
 		f.endAll("w1")
 	}
-	require.GreaterOrEqual(t, began["paint"], 22, "of 25, all within its share; in the order of arrival 8")
-	require.GreaterOrEqual(t, began["tint"], 10, "the remaining capacity, and at least its share")
+	require.GreaterOrEqual(t, started["paint"], 22, "of 25, all within its share; in the order of arrival it would be 8")
+	require.GreaterOrEqual(t, started["tint"], 10, "the remaining capacity, and at least its share")
 }
 
 // endAll answers the pending poll of a worker: runs of a second or more have ended.
--- a/job/silence_test.go
+++ b/job/silence_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// When all kept connections to a peer have gone silent, requests that may be repeated are
+// When all idle connections to a peer have gone silent, requests that may be repeated are
 // answered in time, and others fail once at most.
 func TestSilentPeerConnectionsCostOneTimeout(t *testing.T) {
 	const conns = peerConns
@@ -163,9 +163,9 @@
 	}
 }
 
-// For any bound on the configuration's delay: a watch on a silent connection and the next one
-// leave time for applying the configuration, a slow store has time to answer each, and the
-// entry host does not become unready for it.
+// Whatever the bound on the configuration's delay, a watch on a silent connection and the next
+// watch leave time to apply the configuration. A slow store has time to answer each watch, and
+// one silent watch does not make the entry host unready.
 func TestConfigWatchFitsItsBound(t *testing.T) {
 	const slow = 250 * time.Millisecond
 	for _, c := range []time.Duration{1250 * time.Millisecond, 2 * time.Second, 4 * time.Second, time.Minute} {
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -179,8 +179,8 @@
 
 // A worker may be known from the roster only, which does not hold its capacity: its record
 // was deleted while it was cut off and owners changed. What may run on it must count in
-// full. It was limited to the capacity of the workers that had not answered, which was
-// taken for zero, and a team with a cap of 4,000 thousandths of a core had 5,500 running.
+// full. That count was limited to the capacity of the workers that had not answered, which
+// was taken for zero, and a team with a cap of 4,000 thousandths of a core had 5,500 running.
 func TestCapCountsRunsOnAWorkerOfUnknownCapacity(t *testing.T) {
 	f := newOwnerFixture(t, 5000)
 	rec := NewRecord(testConfig().Queues[0], platform.Submission{Spec: "s", Steps: []platform.Step{tasksOf(1)}}, f.now)
--- a/job/unconfigured_test.go
+++ b/job/unconfigured_test.go
@@ -78,11 +78,11 @@
 // taking over.
 func TestInvalidJobRecordIsRejected(t *testing.T) {
 	for name, e := range map[string]platform.Entry{
-		"no object":      {Key: recordKey(idA), Value: []byte(`[1]`)},
-		"no steps":       {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue"}`)},
-		"steps in a row": {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1,"a":[1]},{"n":1,"a":[0]}]}`)},
-		"no queue":       {Key: recordKey(idA), Value: []byte(`{"w":[{"n":1}]}`)},
-		"no id":          {Key: recordPrefix + "x", Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1}]}`)},
+		"not an object": {Key: recordKey(idA), Value: []byte(`[1]`)},
+		"no steps":      {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue"}`)},
+		"cyclic steps":  {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1,"a":[1]},{"n":1,"a":[0]}]}`)},
+		"no queue":      {Key: recordKey(idA), Value: []byte(`{"w":[{"n":1}]}`)},
+		"no id":         {Key: recordPrefix + "x", Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1}]}`)},
 	} {
 		_, _, err := decodeRecord(e)
 		require.Error(t, err, name)
@@ -91,8 +91,8 @@
 
 func TestInvalidProgressIsRejected(t *testing.T) {
 	for name, v := range map[string]string{
-		"no object":      `3`,
-		"another state":  `{"s":"resting"}`,
+		"not an object":  `3`,
+		"unknown state":  `{"s":"resting"}`,
 		"a time below 0": `{"s":"running","p":-1}`,
 		"a step below 0": `{"s":"running","i":{"0":{"f":[{"s":-1,"i":0,"r":[1]}]}}}`,
 		"a task below 0": `{"s":"running","i":{"0":{"f":[{"s":0,"i":-1,"r":[1]}]}}}`,
--- a/job/world_cancel_test.go
+++ b/job/world_cancel_test.go
@@ -169,17 +169,17 @@
 	id := w.submitLong()
 	w.ordersLateUntil = w.now.Add(time.Duration(rapid.IntRange(0, 10).Draw(w.t, "late_tenths")) * 100 * time.Millisecond)
 	w.advance(time.Duration(rapid.IntRange(0, 20).Draw(w.t, "remove_tenths")) * 100 * time.Millisecond)
-	before := rapid.Bool().Draw(w.t, "before")
-	if before {
+	cancelFirst := rapid.Bool().Draw(w.t, "before")
+	if cancelFirst {
 		w.cancel(id)
 		w.advance(100 * time.Millisecond)
 	}
 	w.owner().dead = true
-	if before && rapid.Bool().Draw(w.t, "forgotten") {
+	if cancelFirst && rapid.Bool().Draw(w.t, "forgotten") {
 		w.forgetFinal()
 	}
 	w.advance(ownerTTL / 2)
-	if !before {
+	if !cancelFirst {
 		w.cancel(id)
 	}
 	w.advance(ownerTTL / 2)
--- a/job/world_crash_test.go
+++ b/job/world_crash_test.go
@@ -15,7 +15,7 @@
 	// crashers are jobs whose first task crashes each worker that starts it.
 	crashers map[ID]bool
 	// crashesUnder counts the crashes of workers that had a task, startsAfter the starts of a
-	// task after crashesBorne of them.
+	// task after crashesTolerated of them.
 	crashesUnder, startsAfter map[string]int
 	// ordered holds, for each task, the workers to which a start of it was sent.
 	// unconfirmedCrashes counts those that crashed: an owner without an answer cannot know
@@ -36,8 +36,8 @@
 	}
 }
 
-// Limits for a task that crashes its workers. It may fail its job from crashesToGiveUp crashes
-// on. After crashesBorne crashes it may start startsAfterBorne more times.
+// Limits for a task that crashes its workers. It may fail its job from crashesToFail crashes
+// on. After crashesTolerated crashes it may start startsTolerated more times.
 const (
 	crashesToFail    = 2
 	crashesTolerated = 3
@@ -61,7 +61,7 @@
 		w.startsAfter[name]++
 	}
 	if lost := w.tenures - w.tenuresAt[name]; w.startsAfter[name] > startsTolerated+lost {
-		w.t.Fatalf("%s starts for the %d. time after %d crashes, under %d owners", name, w.startsAfter[name], crashesTolerated, lost+1)
+		w.t.Fatalf("%s starts %d times after %d crashes, under %d owners", name, w.startsAfter[name], crashesTolerated, lost+1)
 	}
 	w.after(crashDelay, func() {
 		if v.alive {
--- a/job/world_faults_test.go
+++ b/job/world_faults_test.go
@@ -32,7 +32,7 @@
 	for _, r := range v.runs {
 		used += r.step.MilliCores
 	}
-	// An order that arrives late was sent by the capacity of that time, and could not be
+	// An order that arrives late fitted the capacity at the time of its sending, and could not be
 	// withdrawn when the worker shrank.
 	if used > max(v.room(w.now), w.roomOrdered[rawRunID{task: o.Task, number: o.Run}]) {
 		w.t.Fatalf("%s exceeds the capacity of %s: %d", o.Task, v.ID, used)
@@ -201,10 +201,10 @@
 const capacityVisibleWithin = 1500 * time.Millisecond
 
 // resize changes the capacity of some worker while it runs.
-func (w *world) resize(cores int64) {
+func (w *world) resize(milliCores int64) {
 	v := w.pickWorker()
 	v.previousCores, v.previousUntil = v.room(w.now), w.now.Add(capacityVisibleWithin)
-	v.Capacity.MilliCores = cores
+	v.Capacity.MilliCores = milliCores
 	w.after(capacityVisibleWithin/2, func() {
 		if v.alive && !v.unlisted {
 			w.writeRecord(v)
@@ -249,8 +249,8 @@
 	w.takeOver()
 }
 
-// deposeOwner has another owner take over while the owner goes on sending orders for as long as
-// it has authority.
+// deposeOwner has another owner take over while the current one goes on sending orders for as long
+// as it has authority.
 func (w *world) deposeOwner() {
 	w.replaceOwner(func(o *worldOwner) { w.after(ownerAuthority, func() { o.dead = true }) })
 }
--- a/job/world_lasting_test.go
+++ b/job/world_lasting_test.go
@@ -37,7 +37,7 @@
 	maintainedBy map[int64]map[string]bool
 	// stalledUntil is until when tasks on a worker make no progress.
 	stalledUntil map[*worldWorker]time.Time
-	// log has the owners' latest log lines, without those on moves of machines.
+	// log has the owners' latest log lines, without those on moves of machines and on pools.
 	log []worldLogLine
 }
 
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(others) >= r.step.MaxUnavailable {
-		w.t.Fatalf("run %d of %s on %s, started %s ago, is ended while ready, with %d others of its step unavailable of at most %d: %s\n%s",
+		w.t.Fatalf("run %d of %s on %s, started %s ago, is ended while ready, with %d others of its step unavailable where at most %d may be: %s\n%s",
 			r.number, r.task, v.ID, w.now.Sub(r.began), len(others), r.step.MaxUnavailable, strings.Join(others, "; "), w.logLinesOn(k, v))
 	}
 }
--- a/job/world_link_test.go
+++ b/job/world_link_test.go
@@ -96,8 +96,8 @@
 		w.linkRate = megabits * bytesPerMegabit
 		w.spec = strings.Repeat("s", 1000)
 		w.renewals.renewedAt = w.now
-		told := rapid.SampledFrom([]float64{0, megabits, 2 * megabits}).Draw(t, "told")
-		w.owners[0].core.flow = newFlowControl(Size{LinkMbps: told}, w.now)
+		configured := rapid.SampledFrom([]float64{0, megabits, 2 * megabits}).Draw(t, "told")
+		w.owners[0].core.flow = newFlowControl(Size{LinkMbps: configured}, w.now)
 		workers := rapid.IntRange(20, 40).Draw(t, "workers")
 		for i := range workers {
 			w.hosts++
@@ -111,7 +111,7 @@
 			w.submitSteps(platform.Step{Count: 20, Estimate: 300 * time.Millisecond, Resources: platform.Resources{MilliCores: 250}})
 		}
 		w.advance(10 * time.Second)
-		if told > 0 {
+		if configured > 0 {
 			require.Less(t, w.renewals.longest, renewTimeout)
 		}
 		require.Zero(t, w.renewals.expirations)
--- a/job/world_machines_test.go
+++ b/job/world_machines_test.go
@@ -10,7 +10,7 @@
 	"amberway/platform"
 )
 
-// listMachines returns the list of machines, which also has partitioned hosts. Its pages are not a
+// listMachines returns the machine list, which includes partitioned hosts. Its pages are not a
 // consistent snapshot, so that a lossy world leaves out some hosts, but none twice in a row.
 func (w *world) listMachines() MachineList {
 	e := MachineList{SentAt: w.now}
@@ -48,8 +48,8 @@
 	w.addWorker(fmt.Sprint("host-", w.hosts))
 }
 
-// cutRecord deletes the record of a worker that is partitioned from the store and from the owners
-// for a while, and goes on running.
+// cutRecord partitions a worker from the store and the owners for a while. Its record is deleted
+// meanwhile, and it goes on running.
 func (w *world) cutRecord() {
 	v := w.pickWorker()
 	v.partitioned = true
