--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -170,16 +170,16 @@
 // Two stops that were not answered must not wait for one another forever.
 func TestUnansweredStopsDoNotDeadlock(t *testing.T) {
 	f := newFixture(t)
-	runs := threeReady(f)
+	ready := threeReady(f)
 	f.join("w4")
 	for _, id := range []platform.WorkerID{"w1", "w2"} {
-		r := f.core.workers[id].runs[runID{task: taskKey{id: idA, index: runs[id].index()}, number: runs[id].Order.Run}]
+		r := f.core.workers[id].runs[runID{task: taskKey{id: idA, index: ready[id].index()}, number: ready[id].Order.Run}]
 		f.core.stop(r, "its worker is to be emptied")
 		r.stopPending = false
 		f.drain(id)
 	}
 	f.out = nil
-	f.passReady(runs, maxOrderDelay+2*time.Second)
+	f.passReady(ready, maxOrderDelay+2*time.Second)
 	require.Len(t, f.stops(), 1)
 }
 
--- a/job/core_test.go
+++ b/job/core_test.go
@@ -139,10 +139,10 @@
 	}
 }
 
-// answer answers the pending poll of a worker.
+// answer answers the poll in flight of a worker.
 func (f *fixture) answer(id string, l platform.PollReply) {
 	a, ok := f.polls[platform.WorkerID(id)]
-	require.True(f.t, ok, "no poll of %s is pending", id)
+	require.True(f.t, ok, "no poll of %s is in flight", id)
 	delete(f.polls, platform.WorkerID(id))
 	l.Clock = f.clock
 	f.step(PollResult{Worker: platform.WorkerID(id), SentAt: f.now, Acked: a.Order.LastAcked, Poll: l})
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -50,7 +50,7 @@
 	require.GreaterOrEqual(t, started["tint"], 10, "the remaining capacity, and at least its share")
 }
 
-// endAll answers the pending poll of a worker: runs of a second or more have ended.
+// endAll answers the poll in flight of a worker: runs of a second or more have ended.
 func (f *fixture) endAll(id string) {
 	w := f.core.workers[platform.WorkerID(id)]
 	var l platform.PollReply
