--- a/job/admission_policy_test.go
+++ b/job/admission_policy_test.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// simulate advances the time with twice as much work as the link carries, and records how
-// long jobs wait for their first start.
+// simulate advances the time with 40 new jobs a second, more than twice what the link carries,
+// and records the time from a job's first submission to its first start.
 func (h *herd) simulate(d time.Duration) {
 	started := map[ID]bool{}
 	for end := h.now.Add(d); h.now.Before(end); {
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -13,8 +13,8 @@
 // tailTarget is the TailTarget of the latency-sensitive task.
 const tailTarget = 100 * time.Millisecond
 
-// sharedFixture is an owner with a worker on which a best-effort task runs beside a latency-sensitive
-// one.
+// sharedFixture is an owner with a worker on which a best-effort task runs beside a
+// latency-sensitive one.
 type sharedFixture struct {
 	*fixture
 	bestEffort, sensitive StartRun
