--- a/job/intake.go
+++ b/job/intake.go
@@ -163,7 +163,7 @@
 		}
 		rest = append(rest, a)
 	}
-	i.settle(done, common.Ran, "already stored", 0)
+	i.settle(done, common.Ran, "there already", 0)
 	if len(done) == 0 {
 		// The conflict is within the batch: two entries are the same job. Write them one
 		// after the other.
