--- a/request/accept.go
+++ b/request/accept.go
@@ -41,8 +41,8 @@
 }
 
 // refusalVerdict returns the verdict of an answer that refuses the request or gives it
-// up. A request is known not to have run only if it cannot have copies, or if its copies
-// cannot run because it is claimed.
+// up. It is NotRun only if nothing was sent to a target and no copy of the request can
+// run: either the caller chose no id for it, or this process has claimed it.
 func (q *acceptedRequest) refusalVerdict() common.Verdict {
 	if q.sent || (q.hasKey && !q.claimed) {
 		return common.MayHaveRun
@@ -131,8 +131,9 @@
 	return nil
 }
 
-// acceptID finds the id and whether the request may be repeated. A caller may forbid
-// repetition that the job allows, but not allow what it forbids.
+// acceptID determines the id and whether the request may run more than once. A caller may
+// forbid the repetition of a request whose job is repeatable, but cannot allow it for
+// another job.
 func (s *Server) acceptID(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	q.atMostOnce = !q.job.Repeatable
 	switch v := r.Header.Get(common.HeaderRepeatable); v {
@@ -172,7 +173,8 @@
 	return uuid.Must(uuid.NewV7())
 }
 
-// acceptDeadline finds the time by which the answer has to be there.
+// acceptDeadline sets the deadline: the one that the caller names, or else the job's
+// timeout from now, and config.MaxTimeout from now at most.
 func (s *Server) acceptDeadline(r *http.Request, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
 	q.deadline = now.Add(q.job.Timeout)
--- a/request/admission.go
+++ b/request/admission.go
@@ -6,8 +6,8 @@
 	"amberway/common"
 )
 
-// Offer queues the item, or refuses it at once if its answer could not be there by the
-// deadline.
+// Offer queues the item, or refuses it at once if it is not expected to be answered by
+// its deadline.
 func (s *Scheduler) Offer(now time.Time, i *Item) *Refusal {
 	v, ok := s.services[i.Service]
 	if !ok {
@@ -42,11 +42,13 @@
 // run time is not known yet count at all.
 const minRunEstimate = time.Millisecond
 
-// noTargetRetryDelay is when to retry a pool that has no target.
+// noTargetRetryDelay is the delay after which a caller is told to retry if the pool has
+// no target for its service.
 const noTargetRetryDelay = 2 * time.Second
 
 // addWaiting counts one more waiting request. A class that had none waiting starts at the
-// other class's virtual time: it gets no credit for the time in which it was idle.
+// other class's virtual time at the earliest: it gets no credit for the time in which it
+// was idle.
 func (p *pool) addWaiting(c common.Class) {
 	o := 1 - c
 	if p.waiting[c] == 0 && p.waiting[o] > 0 {
@@ -56,7 +58,7 @@
 }
 
 // estimateWait estimates how long a new request of the service and class waits: the work
-// queued before it, divided by the slots that it can count on.
+// queued there, divided by the slots that the service and class can count on.
 func (s *Scheduler) estimateWait(p *pool, v *service, c common.Class) time.Duration {
 	work := v.queues[c].work
 	slots := min(s.classSlots(p, c), float64(s.serviceSlots(p, v)))
@@ -84,9 +86,9 @@
 	return n
 }
 
-// classSlots returns the slots of the pool that a class can count on: quick requests have
-// all but the share of patient ones that wait; patient ones have what quick ones leave,
-// but at least their share.
+// classSlots returns the slots of the pool that a class can count on. Quick requests can
+// count on all, less the patient share while patient requests wait; patient ones on what
+// quick ones leave, but at least on their share.
 func (s *Scheduler) classSlots(p *pool, c common.Class) float64 {
 	all := float64(p.slots)
 	if c == common.Patient {
@@ -118,7 +120,7 @@
 }
 
 // Cancel removes a waiting item from its queue. It returns false for an item that is
-// already running: Done ends it.
+// already running, which Done ends.
 func (s *Scheduler) Cancel(i *Item) bool {
 	if i.queue == nil || !i.queue.heap.Remove(i.heapEntry) {
 		return false
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -23,8 +23,8 @@
 	cancel context.CancelFunc
 	// conn describes the connection; nil until there is one.
 	conn atomic.Pointer[connInfo]
-	// phase says whether the body is being sent or the attempt was abandoned; whichever
-	// comes first is final.
+	// phase says whether the body is being sent or the attempt was abandoned. Whichever
+	// comes first excludes the other.
 	phase atomic.Int32
 	// done is closed once reply or err is set.
 	done  chan struct{}
@@ -63,10 +63,11 @@
 	return t.conn.Load() != nil
 }
 
-// distrustConn marks the connection as silent if the deadline has passed without an
-// answer. Nothing else distinguishes a silent connection from a long run. The request is
-// not sent again, but later ones do not use another connection that has received nothing
-// since this request was sent.
+// distrustConn closes the target's idle connections that have received nothing since this
+// request was sent, if the request was sent on a reused connection and its deadline has
+// passed without an answer. Nothing but the deadline distinguishes a silent connection
+// from a long run. The request is not sent again, but later ones do not use another
+// silent connection.
 func (t *attempt) distrustConn(ctx context.Context) {
 	c := t.conn.Load()
 	if c != nil && c.reused && errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -91,7 +92,7 @@
 	return t.phase.CompareAndSwap(phasePending, phaseAbandoned) || t.phase.Load() == phaseAbandoned
 }
 
-// errAbandoned ends the writing of a request whose caller has gone.
+// errAbandoned ends the writing of a request whose attempt was abandoned.
 var errAbandoned = merry.New("given up before it was written")
 
 // requestBody is the body of a request. net/http still writes a request if its connection
@@ -166,8 +167,8 @@
 	return t.reply, nil
 }
 
-// detach lets the attempt go on without its caller. The error's Done channel closes when
-// it has ended.
+// detach lets the attempt go on without its caller. The Done channel of the returned
+// error is closed once the attempt has ended.
 func (t *attempt) detach(ctx context.Context) error {
 	ended := make(chan struct{})
 	timeout := time.AfterFunc(detachedRunTimeout, t.cancel)
--- a/request/callerconn.go
+++ b/request/callerconn.go
@@ -19,8 +19,8 @@
 	// idle says that nothing of the next request has been read, since idleSince.
 	idle      bool
 	idleSince time.Time
-	// keepUntil is until when the caller may use the idle connection, by the Keep-Alive
-	// timeout that was announced to it.
+	// keepUntil is the end of the Keep-Alive timeout that was announced to the caller:
+	// until then it may use the idle connection.
 	keepUntil time.Time
 	// closing asks the reader to close the connection unless a request has arrived.
 	closing bool
@@ -40,22 +40,23 @@
 	return n, err
 }
 
-// readOrShutdown returns what has arrived, or shuts the connection down in the very next
-// system call.
+// readOrShutdown returns what has arrived. If that is nothing, it shuts the connection
+// down in the very next system call, which leaves next to no time for a request to arrive
+// in between.
 func (k *callerConn) readOrShutdown(b []byte) (n int, err error) {
 	r, err := k.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	failed := r.Control(func(fd uintptr) {
+	controlErr := r.Control(func(fd uintptr) {
 		n, err = syscall.Read(int(fd), b)
 		if n <= 0 {
 			// The connection is closed next, so the result does not matter.
 			_ = syscall.Shutdown(int(fd), syscall.SHUT_RDWR)
 		}
 	})
-	if failed != nil {
-		return 0, failed
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	if n <= 0 {
 		return 0, os.ErrDeadlineExceeded
@@ -111,8 +112,9 @@
 }
 
 // closeIfIdle asks the reader to close the connection if it is idle and the timeout
-// announced to its caller has passed. It returns since when the connection has been idle.
-func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, idle bool) {
+// announced to its caller has passed. If so, it returns when the connection became idle,
+// and true.
+func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, closing bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.idle || k.closing || now.Before(k.keepUntil) {
@@ -174,7 +176,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for k := range o.open {
-		if since, idle := k.closeIfIdle(now); idle {
+		if since, closing := k.closeIfIdle(now); closing {
 			to.record(since, now)
 		}
 	}
@@ -184,12 +186,11 @@
 // request that was on its way on one of them.
 type IdleReport struct {
 	Closed int
-	// LastClosedAt is when the last of them was closed. OldestIdleSince is since when the
-	// one that was idle for longest had been idle, NewestIdleSince the one that was idle
-	// for the shortest time.
+	// LastClosedAt is when the last of them was closed. OldestIdleSince and
+	// NewestIdleSince are when the first and the last of them became idle.
 	LastClosedAt, OldestIdleSince, NewestIdleSince time.Time
-	// ServedLate is how many others were closing when a request arrived, which was
-	// served.
+	// ServedLate is how many more connections were closing when a request arrived on
+	// them; it was served.
 	ServedLate int
 }
 
--- a/request/callerlistener.go
+++ b/request/callerlistener.go
@@ -57,11 +57,11 @@
 	if err != nil {
 		return 0, err
 	}
-	dup, failed := 0, error(nil)
+	dup, dupErr := 0, error(nil)
 	err = r.Control(func(fd uintptr) {
-		dup, failed = syscall.Dup(int(fd))
+		dup, dupErr = syscall.Dup(int(fd))
 	})
-	if err = errors.Join(err, failed); err != nil {
+	if err = errors.Join(err, dupErr); err != nil {
 		return 0, err
 	}
 	syscall.CloseOnExec(dup)
@@ -90,8 +90,8 @@
 // accepting goroutine has been scheduled, which takes long on a busy host, so the second
 // descriptor keeps the socket listening until then.
 //
-// Of 1,200 closes, each under eight callers that keep connecting, 38 lost a connection
-// where nothing was blocked; TestCloseWaitsForHalfOpenConnections lost 12 of 12.
+// Without the block, 38 of 1,200 closes, each under eight callers that kept connecting,
+// lost a connection, and TestCloseWaitsForHalfOpenConnections lost all of its 12.
 func (l *CallerListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,9 +106,9 @@
 	l.handshakes.AwaitedAccept = len(fds)
 	l.handshakes.BlockedAt, l.handshakes.ClosedAt = blockedAt, time.Now()
 	for _, fd := range fds {
-		c, failed := connFromFD(fd)
-		if failed != nil {
-			err = errors.Join(err, failed)
+		c, connErr := connFromFD(fd)
+		if connErr != nil {
+			err = errors.Join(err, connErr)
 			continue
 		}
 		l.backlog = append(l.backlog, c)
@@ -138,8 +138,8 @@
 
 // acceptAndClose accepts until no connection waits and then closes the listening
 // descriptor. It uses raw system calls, between which the runtime cannot run anything
-// else: if new connections could not be blocked, one that is established between the last
-// two calls is lost.
+// else, so that little time passes between the last accept and the close: if new
+// connections could not be blocked, one that is established in that time is lost.
 func acceptAndClose(fd int) []int {
 	l := make([]int, 0, backlogCapacity)
 	for {
@@ -160,7 +160,8 @@
 // a host receives in a second.
 const backlogCapacity = 256
 
-// connFromFD returns the connection of a file descriptor, which it takes over.
+// connFromFD returns the connection of a file descriptor, and takes ownership of the
+// descriptor.
 func connFromFD(fd int) (net.Conn, error) {
 	syscall.CloseOnExec(fd)
 	f := os.NewFile(uintptr(fd), "caller")
--- a/request/callerlistener_test.go
+++ b/request/callerlistener_test.go
@@ -15,8 +15,9 @@
 	"amberway/internal/loopback"
 )
 
-// TestCloseOfTheListenerLosesNoConnection opens connections with a request on each that
-// nobody accepts before the listener is closed, as on a host that was stalled.
+// TestCloseOfTheListenerLosesNoConnection checks that connections which nobody has
+// accepted when the listener is closed, as on a host that was stalled, are served with
+// the requests that they carry.
 func TestCloseOfTheListenerLosesNoConnection(t *testing.T) {
 	l, err := ListenForCallers(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
@@ -80,8 +81,8 @@
 	return lostByCloseBefore(t, callers, func(netip.AddrPort) {})
 }
 
-// lostByCloseBefore is lostByClose, and calls next with the listener's address once it is
-// closed.
+// lostByCloseBefore does what lostByClose does, and calls next with the listener's
+// address once it is closed.
 func lostByCloseBefore(t *testing.T, callers int, next func(netip.AddrPort)) int64 {
 	t.Helper()
 	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.RandomAddr(), 0))
@@ -107,9 +108,10 @@
 // TestCallersOfClosedListenerReachNoOtherServer guards against losses that are counted at
 // another server. A caller whose connection request is dropped by the close repeats it a
 // second later. If the kernel has given the port to another test's server by then, the
-// callers go on with that server and count its resets as losses of the close: two in one
-// of 200 closes in CI, with connections opened 1.0 s to 28.9 s after the close, and in
-// one case 247,762 of them.
+// callers go on with that server and count its resets as losses of the close. In CI, one
+// of 200 closes seemed to have lost two connections for that reason. All lost connections
+// had been opened 1.0 s to 28.9 s after the close, and in one case 247,762 connections
+// were made to the other server.
 //
 // The other server is simulated by a listener that resets what it accepts.
 func TestCallersOfClosedListenerReachNoOtherServer(t *testing.T) {
--- a/request/callerserver.go
+++ b/request/callerserver.go
@@ -26,8 +26,8 @@
 	// quietTimeout bounds the wait for callers that keep opening connections: the delay
 	// that the balancer needs to notice the stop has already passed.
 	quietTimeout = 5 * time.Second
-	// IdleGrace is how long a stop waits for callers that keep connections open between
-	// requests: the next answer on each connection closes it.
+	// IdleGrace is how long a stop waits for the next request on connections that callers
+	// keep open: its answer closes the connection.
 	IdleGrace = 3 * time.Second
 	// quietTimeDivisor and idleTimeDivisor divide the time left for the stop: each wait
 	// takes no more than that part of it, and the rest is for requests in flight.
@@ -37,9 +37,9 @@
 	callerIdleTimeout = time.Minute
 )
 
-// CallerServer is the HTTP server for callers. A stop loses no request of callers that
-// reuse a connection while the stop waits for them: HTTP/1.1 cannot tell a caller that an
-// idle connection is about to be closed.
+// CallerServer is the HTTP server for callers. HTTP/1.1 cannot tell a caller that an idle
+// connection is about to be closed. A stop therefore waits some time for the next request
+// on each connection, and loses none that is sent in that time.
 type CallerServer struct {
 	handler http.Handler
 	server  *http.Server
@@ -63,8 +63,8 @@
 
 // NewCallerServer returns a server for the handler. Answers announce to callers that they
 // may use an idle connection for keepAlive, in whole seconds; KeepAliveTimeout returns
-// what a stop can honour. During a stop, an idle connection stays open for the grace, and
-// until the announced timeout has passed.
+// what a stop can honour. During a stop, an idle connection stays open for the grace
+// period, and longer if the announced timeout has not passed by then.
 func NewCallerServer(h http.Handler, keepAlive, grace time.Duration) *CallerServer {
 	c := &CallerServer{handler: h, conns: newCallerConns(), keepAliveTimeout: keepAlive.Truncate(time.Second), idleGrace: grace, serveDone: make(chan struct{})}
 	if c.keepAliveTimeout > 0 {
@@ -74,8 +74,8 @@
 	return c
 }
 
-// KeepAliveTimeout returns for how long an idle connection surely stays open in a stop
-// that takes requests as usual for a delay, and has to end within the given time.
+// KeepAliveTimeout returns how long an idle connection is guaranteed to stay open in a
+// stop that serves requests as usual for the delay and has to end within the given time.
 func KeepAliveTimeout(delay, within time.Duration) time.Duration {
 	return min(IdleGrace, within, delay+(within-delay)/idleTimeDivisor)
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// Serve serves the listener's connections until it is closed. It must be called once
-// only.
+// Serve serves the listener's connections until it is closed. It must be called only
+// once.
 func (c *CallerServer) Serve(l *CallerListener) error {
 	defer close(c.serveDone)
 	return c.server.Serve(trackingListener{l, c.conns})
@@ -149,8 +149,8 @@
 	return l
 }
 
-// Stop accepts requests until callers have stopped sending them or the time for that has
-// passed, and returns once none is in flight or the context ends.
+// Stop goes on accepting requests until callers have stopped sending them or the time for
+// that has passed, and returns once none is in flight or the context ends.
 func (c *CallerServer) Stop(ctx context.Context, l *CallerListener) (StopReport, error) {
 	var r StopReport
 	c.DisableKeepAlives()
@@ -198,7 +198,7 @@
 }
 
 // waitQuiet waits until quietPolls polls in a row find no new connection or request. It
-// reports whether that happened in time.
+// reports whether that happened within the time.
 func (c *CallerServer) waitQuiet(ctx context.Context, within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, boundedWait(ctx, within, quietTimeDivisor))
 	defer cancel()
--- a/request/callerstop_test.go
+++ b/request/callerstop_test.go
@@ -115,9 +115,9 @@
 	wait()
 }
 
-// TestStopAnswersRequestsThatArriveWhileOthersAreInFlight guards against the same while
-// the stop waits for a long request: others arrive meanwhile, on connections opened
-// before.
+// TestStopAnswersRequestsThatArriveWhileOthersAreInFlight guards against requests that
+// are read and dropped while the stop waits for a long one: they arrive on connections
+// opened before.
 func TestStopAnswersRequestsThatArriveWhileOthersAreInFlight(t *testing.T) {
 	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -207,14 +207,14 @@
 	host, caller := acceptedPair(t)
 	_, err := caller.Write([]byte("request"))
 	require.NoError(t, err)
-	_, idle := host.closeIfIdle(time.Now())
-	require.True(t, idle)
+	_, closing := host.closeIfIdle(time.Now())
+	require.True(t, closing)
 	requireRead(t, host, "request")
-	_, idle = host.closeIfIdle(time.Now())
-	require.False(t, idle, "a connection with a request is not idle")
+	_, closing = host.closeIfIdle(time.Now())
+	require.False(t, closing, "a connection with a request is not idle")
 	host.markIdle(0)
-	_, idle = host.closeIfIdle(time.Now())
-	require.True(t, idle)
+	_, closing = host.closeIfIdle(time.Now())
+	require.True(t, closing)
 	b := make([]byte, 1)
 	_, err = host.Read(b)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -222,9 +222,10 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestRequestAtIdleTimeoutIsServed guards against the same without a stop: a connection
-// is closed after a minute without a request, or ten seconds without a first one, and a
-// host that was stalled then finds both the deadline passed and a request.
+// TestRequestAtIdleTimeoutIsServed guards against a request lost at an idle timeout,
+// without a stop: a connection is closed after a minute without a request, or ten seconds
+// without a first one, and a host that was stalled then finds both the deadline passed
+// and a request.
 func TestRequestAtIdleTimeoutIsServed(t *testing.T) {
 	host, caller := acceptedPair(t)
 	_, err := caller.Write([]byte("request"))
@@ -245,10 +246,10 @@
 	host, _ := acceptedPair(t)
 	now := time.Now()
 	host.markIdle(time.Minute)
-	_, idle := host.closeIfIdle(now.Add(50 * time.Second))
-	require.False(t, idle)
-	_, idle = host.closeIfIdle(now.Add(61 * time.Second))
-	require.True(t, idle)
+	_, closing := host.closeIfIdle(now.Add(50 * time.Second))
+	require.False(t, closing)
+	_, closing = host.closeIfIdle(now.Add(61 * time.Second))
+	require.True(t, closing)
 }
 
 // TestAnswersAnnounceKeepAliveTimeout guards against callers that cannot know when an
@@ -271,8 +272,8 @@
 }
 
 // TestStopHonoursTimeoutAnnouncedByLastAnswers guards against a request lost on a
-// connection whose answer announced a timeout before the stop began, and ended after the
-// stop had already waited for idle connections.
+// connection whose answer announced a timeout before the stop began, but ended only after
+// the stop had waited for idle connections.
 func TestStopHonoursTimeoutAnnouncedByLastAnswers(t *testing.T) {
 	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/request/choice.go
+++ b/request/choice.go
@@ -37,7 +37,8 @@
 	return Assignment{Item: i}, true
 }
 
-// nextQueue returns the service and class whose request starts next.
+// nextQueue returns the service and class whose request starts next, or false if none
+// can.
 func (s *Scheduler) nextQueue(now time.Time, p *pool) (*service, common.Class, bool) {
 	quick := s.fairestService(now, p, common.Quick)
 	patient := s.fairestService(now, p, common.Patient)
@@ -98,9 +99,9 @@
 	return !now.Before(t.quarantinedUntil) && t.busy < t.Slots
 }
 
-// pickTarget returns a free target for a service that has one. A target that is due for a
-// probe comes first; true is returned with it. Otherwise it is the better of two random
-// targets.
+// pickTarget returns a target for a service for which hasFreeTarget returns true: one
+// that is due for a probe, and true, or else a free one. Of a pool's free targets, it is
+// the cheaper of two random ones; for a placed service, it is the cheapest of its own.
 func (s *Scheduler) pickTarget(now time.Time, p *pool, v *service) (*target, bool) {
 	if v.Placed {
 		t, probe := s.pickPlacedTarget(now, v)
@@ -118,7 +119,8 @@
 }
 
 // pickPlacedTarget returns the cheapest free target of those that run the service, or one
-// that is due for a probe, and true. They are as many as the job has replicas.
+// that is due for a probe, and true. It looks at all of them: they are only as many as
+// the job has replicas.
 func (s *Scheduler) pickPlacedTarget(now time.Time, v *service) (*target, bool) {
 	var best *target
 	for _, n := range v.Targets {
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -26,8 +26,8 @@
 }
 
 // claimModel is several entry hosts that claim from one shard, over a store that loses
-// answers, with clocks that differ by up to the allowed skew and with pauses inside their
-// calls. It counts the runs of each id.
+// answers, with clocks that differ by up to a second and with pauses inside their calls.
+// It counts the runs of each id.
 type claimModel struct {
 	t       *rapid.T
 	now     time.Time
@@ -58,7 +58,7 @@
 	return s
 }
 
-// clock returns the time of one host's clock; two differ by MaxClockSkew at most.
+// clock returns the time of one host's clock; two differ by less than MaxClockSkew.
 func (m *claimModel) clock(n int) time.Time {
 	return m.now.Add(m.skew[n])
 }
@@ -128,9 +128,9 @@
 	m.shards[n] = m.newShard(n)
 }
 
-// TestClaimsRunAtMostOnce checks that ids run at most once, with copies through several
-// hosts, lost and late answers, pauses of any length, restarts and the removal of old
-// segments.
+// TestClaimsRunAtMostOnce checks that ids run at most once, with copies sent through
+// several hosts, lost and late answers, pauses of any length, restarts and the removal of
+// old segments.
 func TestClaimsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClaimModel(t)
@@ -177,8 +177,8 @@
 }
 
 // TestAbandonedClaimIsNotWritten checks that a claim whose request was given up during a
-// platform outage does not take the id: the caller, who was told to retry with it, is
-// granted it then.
+// platform outage does not take the id: when the caller retries with it, as it was told
+// to, the claim is granted.
 func TestAbandonedClaimIsNotWritten(t *testing.T) {
 	m := standin.NewFaultyStore()
 	s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.NopDeps().Log("test"), func() {})
--- a/request/claimer.go
+++ b/request/claimer.go
@@ -134,7 +134,8 @@
 	return ClaimOutcome(r.GetOutcome()), nil
 }
 
-// Claim serves a claim on a shard that the caller takes this process to own.
+// Claim serves a claim on a shard which the calling entry host believes this process to
+// own.
 func (v claimServer) Claim(ctx context.Context, q *requestpb.ClaimRequest) (*requestpb.ClaimReply, error) {
 	id, err := uuid.FromBytes(q.GetClaim().GetId())
 	if err != nil || q.GetShard() != ShardOf(id) {
--- a/request/claimlog.go
+++ b/request/claimlog.go
@@ -6,8 +6,8 @@
 	"github.com/google/uuid"
 )
 
-// Times that the at-most-once guarantee rests on. All clocks of the deployment are within
-// MaxClockSkew of each other.
+// Times that the at-most-once guarantee rests on. It holds as long as all clocks of the
+// deployment are within MaxClockSkew of each other.
 const (
 	// MaxClockSkew is the largest difference between two clocks.
 	MaxClockSkew = 2 * time.Second
@@ -103,8 +103,8 @@
 	l.last = max(l.last, n)
 }
 
-// ReachedEnd records that at the given time, before the read was sent, the last segment
-// read was the end of the log.
+// ReachedEnd records that the last segment applied was the end of the log at the given
+// time: the time before the read or write that showed it was sent.
 func (l *ClaimLog) ReachedEnd(at time.Time) {
 	l.endReadAt = at
 }
@@ -129,7 +129,7 @@
 	return !l.endReadAt.IsZero() && now.Before(l.endReadAt.Add(IDLifetime-MaxClockSkew))
 }
 
-// Decide returns the outcome of a claim, and true if the log settles it. Other claims go
+// Decide returns the outcome of a claim, and true if the log decides it. Other claims go
 // into the next segment.
 func (l *ClaimLog) Decide(now time.Time, c Claim) (ClaimOutcome, bool) {
 	if !Fresh(now, c.ID) {
--- a/request/claimshard.go
+++ b/request/claimshard.go
@@ -18,8 +18,8 @@
 const (
 	// maxBatchClaims is the most claims in one segment.
 	maxBatchClaims = 512
-	// maxBatchTries is how often the write of one batch is tried before the outcome of
-	// its claims is unknown.
+	// maxBatchTries is how often the write of one batch is tried before its claims are
+	// answered with ClaimUnknown.
 	maxBatchTries = 12
 	// batchTimeout bounds the commit of one batch.
 	batchTimeout = 5 * time.Second
@@ -101,7 +101,8 @@
 	return l
 }
 
-// commit answers the claims of the batch, with ClaimUnknown if they could not be written.
+// commit writes the claims of the batch and answers them, with ClaimUnknown if they could
+// not be written.
 func (s *shard) commit(ctx context.Context, l []pendingClaim) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -115,14 +116,14 @@
 			break
 		}
 		if err != nil {
-			s.logger.Warnf("shard %d not committed: %v", s.store.shard, err)
+			s.logger.Warnf("claims of shard %d not committed: %v", s.store.shard, err)
 			common.Sleep(ctx, s.retryDelay)
 		}
 	}
 	answerAll(l, ClaimUnknown)
 }
 
-// answerDecided answers the claims that the log settles and drops those that nobody waits
+// answerDecided answers the claims that the log decides and drops those that nobody waits
 // for, so that their ids stay free for a caller that retries. It returns the others.
 func (s *shard) answerDecided(l []pendingClaim) []pendingClaim {
 	var undecided []pendingClaim
@@ -221,7 +222,7 @@
 	return nil
 }
 
-// trim removes old segments.
+// trim removes old segments, at most once per trimInterval.
 func (s *shard) trim(ctx context.Context) {
 	now := s.now()
 	if now.Before(s.nextTrim) {
--- a/request/claimstore.go
+++ b/request/claimstore.go
@@ -74,7 +74,7 @@
 	for _, e := range l {
 		n, err := segmentNumber(e.Key)
 		if err != nil {
-			return nil, merry.Prepend(err, "claims: key "+e.Key)
+			return nil, merry.Prepend(err, "claims: bad segment key "+e.Key)
 		}
 		m[n], err = decodeSegment(e.Value)
 		if err != nil {
--- a/request/detached_test.go
+++ b/request/detached_test.go
@@ -56,8 +56,8 @@
 	return s.runs
 }
 
-// oneSlot returns a server with one target of one slot, whose job seems quicker than it
-// is, as it declares no run time.
+// oneSlot returns a server with one target of one slot. Its job declares no run time, so
+// the scheduler takes it for quicker than it is.
 func oneSlot(t *testing.T, h http.Handler) *Server {
 	t.Helper()
 	target := httptest.NewServer(h)
--- a/request/dispatcher.go
+++ b/request/dispatcher.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Wait waits until the item starts. It returns a refusal once the answer cannot be there
-// by the deadline any more, or the context's error.
+// Wait waits until the item starts. It returns a refusal once the item cannot be answered
+// by its deadline any more, or the context's error.
 func (d *Dispatcher) Wait(ctx context.Context, i *Item, started <-chan struct{}) (*Refusal, error) {
 	t := time.NewTimer(d.latestStart(i).Sub(d.now()))
 	defer t.Stop()
@@ -142,9 +142,10 @@
 }
 
 // TargetRemoved ends an item that was not sent because its target was removed, and gives
-// the target no more work until SetTargets names it again: without load it would be the
-// cheapest. Whether it is removed is checked again under the lock: an update that brings
-// it back may have been applied meanwhile, and the next one may come much later.
+// the target no more work until SetTargets names it again: as it runs nothing, it would
+// otherwise be the cheapest choice. Whether it is still removed is checked once more
+// under the lock: an update that brings it back may have been applied meanwhile, and the
+// next one may come much later.
 func (d *Dispatcher) TargetRemoved(i *Item, removed func() bool) {
 	d.Update(func(s *Scheduler) {
 		if removed() {
--- a/request/estimate.go
+++ b/request/estimate.go
@@ -6,7 +6,7 @@
 const ewmaWeight = 0.1
 
 // ewma is an exponentially weighted moving average of durations. It starts from a
-// declared value, which counts as one sample.
+// declared value, which weighs as much as the first sample.
 type ewma struct {
 	value time.Duration
 	// deviation is the moving average of the distance from value.
@@ -29,7 +29,8 @@
 // boundDeviations is how many deviations upperBound is above the average.
 const boundDeviations = 2
 
-// upperBound returns a pessimistic estimate, for a run that has to end by a deadline.
+// upperBound returns a pessimistic estimate, for deciding whether a run ends by its
+// deadline.
 func (m *ewma) upperBound() time.Duration {
 	return m.value + boundDeviations*m.deviation
 }
--- a/request/forward.go
+++ b/request/forward.go
@@ -56,7 +56,8 @@
 	// Sent says that the target may have received some of the request.
 	Sent  bool
 	Cause error
-	// Done is closed once the target has ended the run; nil if nothing runs on.
+	// Done is closed once the run has ended on the target; nil if it cannot still be
+	// going on.
 	Done <-chan struct{}
 }
 
@@ -77,8 +78,8 @@
 type Forwarder struct {
 	conns  *common.Connections
 	pooled *http.Transport
-	// unpooled opens a connection for each request: net/http resends a request only on a
-	// reused connection.
+	// unpooled opens a connection for each request. It sends those that may run at most
+	// once: net/http resends a request only if it was sent on a reused connection.
 	unpooled *http.Transport
 }
 
--- a/request/handle.go
+++ b/request/handle.go
@@ -19,7 +19,7 @@
 	return common.Ran
 }
 
-// attemptResult is the answer to an attempt.
+// attemptResult is the answer that an attempt got.
 type attemptResult struct {
 	reply *Reply
 	// relayed says that the answer comes from another entry host and has a verdict.
@@ -120,7 +120,7 @@
 	return s.send(ctx, q, i)
 }
 
-// statusOf maps each reason to an HTTP status.
+// statusOf maps each reason for a refusal to an HTTP status.
 var statusOf = map[Reason]int{
 	ReasonLate:     http.StatusServiceUnavailable,
 	ReasonFull:     http.StatusTooManyRequests,
@@ -167,13 +167,13 @@
 	return s.Claims.Claim(ctx, q.id)
 }
 
-// pausePollInterval is the time between two checks whether a process that was paused is
-// up to date again.
+// pausePollInterval is the time between two checks whether a process that was paused has
+// caught up.
 const pausePollInterval = 20 * time.Millisecond
 
-// awaitResume holds the request back while the process was just paused and has not caught
-// up with what it missed. It is the last point at which a request whose time has passed
-// is refused.
+// awaitResume holds the request back while the process catches up with what it missed in
+// a pause. It is the last point at which a request whose deadline has passed, or whose id
+// is too old, is refused.
 func (s *Server) awaitResume(ctx context.Context, q *acceptedRequest) *common.ProblemError {
 	now := s.deps.Now()
 	for s.PauseDetector.Recovering(now) && now.Before(q.deadline) && ctx.Err() == nil {
--- a/request/handshakes.go
+++ b/request/handshakes.go
@@ -21,16 +21,16 @@
 
 // Timing of the wait for half-open connections.
 const (
-	// halfOpenPollInterval is the pause between two polls. A packet that arrived before
-	// new connections were blocked shows up as a half-open connection within it: that
-	// takes a few microseconds on a processor that is running.
+	// halfOpenPollInterval is the pause before each poll. It leaves time for a packet
+	// that arrived before new connections were blocked to show up as a half-open
+	// connection, which takes a few microseconds on a processor that is running.
 	halfOpenPollInterval = 5 * time.Millisecond
 	// handshakeTimeout bounds the wait for half-open connections. The kernel repeats its
-	// answer (SYN-ACK) after a second, so one lost packet each way is covered; a caller
-	// that has gone would hold up the stop for a minute.
+	// answer (SYN-ACK) after a second, so one lost packet each way is covered. Without
+	// the bound, a caller that has gone would hold up the stop for a minute.
 	handshakeTimeout = 1500 * time.Millisecond
-	// unobservableWait is the wait if the kernel does not show half-open connections: a
-	// caller repeats its request after 200 ms without an answer.
+	// unobservableWait is the wait if the kernel does not show half-open connections. A
+	// caller repeats its request if it is not acknowledged within 200 ms.
 	unobservableWait = 300 * time.Millisecond
 	// halfOpenPolls is how many polls in a row must find no half-open connection.
 	halfOpenPolls = 2
@@ -82,7 +82,8 @@
 	// BlockedAt is when new connections were blocked, ClosedAt when the listener was
 	// closed.
 	BlockedAt, ClosedAt time.Time
-	// Err says why new connections could not be blocked or half-open ones not be seen.
+	// Err says why new connections could not be blocked or half-open ones could not be
+	// counted.
 	Err error
 }
 
--- a/request/item.go
+++ b/request/item.go
@@ -37,7 +37,8 @@
 	return s.Name
 }
 
-// key returns the key of what the scheduler learns about the job.
+// key returns the key under which the scheduler keeps what it learns about the item's
+// job.
 func (i *Item) key() jobKey {
 	return jobKey{service: i.Service, job: i.Job}
 }
--- a/request/paused_test.go
+++ b/request/paused_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 }
 
-// removedHost implements Hosts without one host, which the scheduler still has.
+// removedHost implements Hosts without one host that the scheduler still knows.
 type removedHost struct {
 	Hosts
 	removed string
@@ -54,8 +54,8 @@
 	return l.Hosts.Address(name)
 }
 
-// TestRemovedTargetCostsNoRequest checks that requests for which the scheduler chose a
-// target that was removed meanwhile run on another one, however many they are.
+// TestRemovedTargetCostsNoRequest checks that requests whose target is removed after the
+// scheduler has chosen it run on another one, however many they are.
 func TestRemovedTargetCostsNoRequest(t *testing.T) {
 	s := oneSlot(t, &slowTarget{})
 	s.Hosts = removedHost{Hosts: s.Hosts, removed: "a"}
@@ -68,8 +68,8 @@
 	}
 }
 
-// returnedHost implements Hosts with one that is missing at the first call, and back from
-// then on.
+// returnedHost implements Hosts with one host that is missing at the first call and back
+// from then on.
 type returnedHost struct {
 	Hosts
 	lookups atomic.Int64
@@ -83,8 +83,8 @@
 	return b.Hosts.Address(name)
 }
 
-// TestReturnedTargetIsUsed checks that a target is not removed if the update that brings
-// it back was applied before.
+// TestReturnedTargetIsUsed checks that a target found missing is not taken from the
+// scheduler if the update that brings it back has already been applied.
 func TestReturnedTargetIsUsed(t *testing.T) {
 	s := oneSlot(t, &slowTarget{})
 	s.Hosts = &returnedHost{Hosts: s.Hosts}
--- a/request/policy_test.go
+++ b/request/policy_test.go
@@ -20,8 +20,8 @@
 // policyTargets is the number of targets, with 8 slots each.
 const policyTargets = 8
 
-// arrivals returns ten seconds of a load, given as a share of what the targets can run:
-// four quick requests of about 50 ms to one patient one of about 300 ms.
+// arrivals returns ten seconds of a load, given as a fraction of what the targets can
+// run: four quick requests of about 50 ms to each patient one of about 300 ms.
 func arrivals(share float64, r *rand.Rand) []arrival {
 	const meanRun = 0.8*0.05 + 0.2*0.3
 	perSecond := share * policyTargets * 8 / meanRun
@@ -135,8 +135,8 @@
 	s.DeclareRunTime("s", "patient", 300*time.Millisecond)
 	runs := map[*Item]time.Duration{}
 	e := &endings{}
-	var pump func(now time.Time)
-	pump = func(now time.Time) {
+	var startReady func(now time.Time)
+	startReady = func(now time.Time) {
 		for {
 			v, ok := s.Next(now, "p")
 			if !ok {
@@ -152,7 +152,7 @@
 					t.inTime[v.Item.Class]++
 				}
 				s.Done(at, v.Item, Outcome{OK: !bad})
-				pump(at)
+				startReady(at)
 			}})
 		}
 	}
@@ -163,8 +163,8 @@
 		if s.Offer(a.at, i) != nil {
 			return
 		}
-		pump(a.at)
-		// The dispatcher gives up a request that cannot be answered in time any more.
+		startReady(a.at)
+		// The dispatcher cancels a request that cannot be answered in time any more.
 		heap.Push(e, ending{at: s.LatestStart(i), end: func(time.Time) { s.Cancel(i) }})
 	})
 	return t
--- a/request/retry.go
+++ b/request/retry.go
@@ -6,7 +6,7 @@
 const (
 	// retriesPerRequest is how many retries each request adds to the budget.
 	retriesPerRequest = 0.1
-	// maxRetryBudget is the largest budget.
+	// maxRetryBudget is the most retries that the budget holds.
 	maxRetryBudget = 20
 )
 
--- a/request/scheduler.go
+++ b/request/scheduler.go
@@ -46,8 +46,9 @@
 }
 
 // Scheduler decides which request runs where and when. It has no clock and does no I/O.
-// All methods but Offer and the setters take time at most logarithmic in the number of
-// queued requests and independent of the number of targets.
+// Next, Cancel and Done take time at most logarithmic in the number of queued requests
+// and of quarantined targets, and linear in the number of a pool's services and of the
+// targets that run a placed one. How many targets the pool has makes no difference.
 type Scheduler struct {
 	policy   Policy
 	random   *rand.Rand
@@ -70,8 +71,8 @@
 	// busy and waiting count requests by class.
 	busy    [common.NumClasses]int
 	waiting [common.NumClasses]int
-	// virtualTime is, for each class, the run time started so far divided by the class's
-	// share, as in weighted fair queueing.
+	// virtualTime is, for each class, the estimated run time of the requests started so
+	// far, divided by the class's share, as in weighted fair queueing.
 	virtualTime [common.NumClasses]float64
 }
 
@@ -93,11 +94,13 @@
 type service struct {
 	ServiceSpec
 	queues [common.NumClasses]*queue
-	// virtualTime is the run time started so far divided by the service's weight.
+	// virtualTime is the estimated run time of the requests started so far, divided by
+	// the service's weight.
 	virtualTime float64
 }
 
-// queue holds the waiting requests of one service and class, ordered by deadline.
+// queue holds the waiting requests of one service and class, ordered by deadline, and the
+// sum of their estimated run times.
 type queue struct {
 	heap *common.Heap[*Item]
 	work time.Duration
@@ -238,7 +241,8 @@
 	}
 }
 
-// DeclareRunTime sets the initial estimate of a job's run time.
+// DeclareRunTime sets the initial estimate of a job's run time. It does nothing once a
+// run of the job has been measured.
 func (s *Scheduler) DeclareRunTime(service, job string, d time.Duration) {
 	j := s.job(jobKey{service: service, job: job})
 	if !j.run.sampled {
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -155,7 +155,7 @@
 
 func (m *schedulerModel) started(i *Item) {
 	if m.ended[i] || !slices.Contains(m.waiting, i) {
-		m.t.Fatalf("an item started that did not wait")
+		m.t.Fatalf("an item started that was not waiting")
 	}
 	for _, o := range m.waiting {
 		if o.Service == i.Service && o.Class == i.Class && o.Deadline.Before(i.Deadline) {
@@ -187,14 +187,14 @@
 func (m *schedulerModel) checkIdleSlots() {
 	for _, d := range m.s.Dump().Targets {
 		if d.Busy > d.Slots && !m.shrunk(d.Name) {
-			m.t.Fatalf("%s is over its slots", d.Name)
+			m.t.Fatalf("%s has more runs than slots", d.Name)
 		}
 		quick := slices.ContainsFunc(m.waiting, func(i *Item) bool {
 			return i.Class == common.Quick && m.mayRun(i, d.Name)
 		})
 		due := d.QuarantinedUntil.IsZero() || !m.now.Before(d.QuarantinedUntil)
 		if quick && due && d.Busy < d.Slots && !m.probed(d.Name) {
-			m.t.Fatalf("a quick request waits although %s is free", d.Name)
+			m.t.Fatalf("a quick request waits although %s has a free slot", d.Name)
 		}
 	}
 }
@@ -233,14 +233,14 @@
 		name := fmt.Sprint("t", n)
 		_, usable := m.slots[name]
 		if got, want := m.s.Idle(name), !usable && m.busy(name) == 0; got != want {
-			t.Fatalf("%s is idle: %t, not %t", name, got, want)
+			t.Fatalf("%s is idle: got %t, want %t", name, got, want)
 		}
 	}
 }
 
 // TestSchedulerKeepsItsBounds checks that no target gets more requests than its slots,
 // that nothing starts twice, after its cancellation or out of order, that runs on a
-// removed target are still known, and that no slot stays idle while a quick request
+// removed target are still counted, and that no slot stays idle while a quick request
 // waits.
 func TestSchedulerKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -398,9 +398,9 @@
 	})
 }
 
-// TestSharesWaitForLateMembershipUpdates checks the same if the others take longer than
-// SlotShareDelay to learn of a process that starts: it uses slots only after all have
-// answered it, and so know of it.
+// TestSharesWaitForLateMembershipUpdates checks that entry hosts stay within the slots
+// even if the others take longer than SlotShareDelay to learn of a process that starts:
+// it uses slots only after all have answered it, and so know of it.
 func TestSharesWaitForLateMembershipUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*SlotShares{}}
--- a/request/server.go
+++ b/request/server.go
@@ -21,12 +21,14 @@
 
 // Limits of one request and of all requests together.
 const (
-	// maxAttempts is the most targets that one request is sent to.
+	// maxAttempts is the most attempts for one request. One whose target was removed
+	// before it was sent does not count.
 	maxAttempts = 3
 	// maxBufferedBodies is the most bytes of request bodies held at once. A body of
 	// unknown length counts as the largest allowed.
 	maxBufferedBodies = 128 << 20
-	// defaultRetryDelay is when to retry after a failure that no queue explains.
+	// defaultRetryDelay is the delay after which a caller is told to retry if no queue
+	// gives an estimate.
 	defaultRetryDelay = time.Second
 )
 
@@ -38,7 +40,7 @@
 
 // Claims decides which attempt may run a request that may run at most once.
 type Claims interface {
-	// Claim claims the id for a new attempt. It tries until the context ends.
+	// Claim claims the id for a new attempt. It retries until the context ends.
 	Claim(ctx context.Context, id uuid.UUID) ClaimOutcome
 }
 
@@ -171,7 +173,7 @@
 	err := s.writeAnswer(w, q, result)
 	result.finish(err == nil)
 	if err != nil {
-		s.log.Warnf("answer to %s broke off: %v", q.id, err)
+		s.log.Warnf("answer to request %s was cut off: %v", q.id, err)
 		// The caller must not take the part that it has for the whole answer.
 		panic(http.ErrAbortHandler)
 	}
--- a/request/share.go
+++ b/request/share.go
@@ -8,7 +8,7 @@
 )
 
 // SlotShare returns how many of a target's slots one process may use. The slots are
-// divided evenly among the entry hosts of the data centre that hold a share, and the
+// divided evenly among the entry hosts of the data centre that hold a share. The
 // remainder goes to those that rank first for the target by rendezvous hashing, which
 // differ from target to target. If all processes see the same members, their shares add
 // up to exactly the slots; a process that sees more members gets no larger share.
@@ -30,9 +30,9 @@
 // another process has gone.
 const SlotShareDelay = 2 * time.Second
 
-// memberAnswerTimeout is how long a process that has just started waits for answers of all live
-// members before it treats one that gives none as silent: twice the time after which a
-// silent member is declared dead.
+// memberAnswerTimeout is how long a process that has just started waits for answers of
+// all live members before it goes on without those that are silent: twice the time after
+// which a silent member is declared dead.
 const memberAnswerTimeout = 8 * time.Second
 
 // SlotShares computes how many slots of each target one process may use while members
--- a/request/silence_test.go
+++ b/request/silence_test.go
@@ -16,10 +16,10 @@
 	"amberway/internal/standin/proxy"
 )
 
-// TestSilentConnectionsToTargetCostOneDeadline checks that only one request waits until
-// its deadline for silent connections. An answer may take as long as the deadline allows,
-// so that only the deadline shows that a connection has gone silent; the next request
-// must not use another such connection.
+// TestSilentConnectionsToTargetCostOneDeadline checks that, of several silent connections
+// to a target, only one makes a request wait until its deadline. An answer may take as
+// long as the deadline allows, so only the deadline shows that a connection has gone
+// silent; the next request must not use another such connection.
 func TestSilentConnectionsToTargetCostOneDeadline(t *testing.T) {
 	const conns = 4
 	var together sync.WaitGroup
--- a/request/verdict_test.go
+++ b/request/verdict_test.go
@@ -137,8 +137,8 @@
 
 var errConnCut = errors.New("cut")
 
-// Run implements Runner: the target is not reached, runs the request and loses the
-// answer, fails, or answers.
+// Run implements Runner: the target is not reached, or it may run the request and loses
+// the answer, or it answers with a failure or a success.
 func (m *verdictModel) Run(_ context.Context, a netip.AddrPort, c Call) (*Reply, error) {
 	m.interleave()
 	if a == entryAddress {
@@ -221,8 +221,8 @@
 	m.check(id, w)
 }
 
-// check records the verdict. A request without an id of its own is identified by the one
-// in its answer.
+// check checks the answer and records its verdict. A request that was sent without an id
+// is identified by the one in its answer.
 func (m *verdictModel) check(id string, w *httptest.ResponseRecorder) {
 	v, err := common.ParseVerdict(w.Header().Get(common.HeaderVerdict))
 	if err != nil {
@@ -250,7 +250,7 @@
 	}
 }
 
-// end checks every verdict against the runs counted by the end.
+// end checks the recorded verdicts against the final counts of runs.
 func (m *verdictModel) end() {
 	for id, l := range m.verdicts {
 		for _, v := range l {
