--- a/request/callerconn.go
+++ b/request/callerconn.go
@@ -114,7 +114,7 @@
 // closeIfIdle asks the reader to close the connection if it is idle and the timeout
 // announced to its caller has passed. If so, it returns when the connection became idle,
 // and true.
-func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, closing bool) {
+func (k *callerConn) closeIfIdle(now time.Time) (since time.Time, idle bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.idle || k.closing || now.Before(k.keepUntil) {
@@ -176,7 +176,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for k := range o.open {
-		if since, closing := k.closeIfIdle(now); closing {
+		if since, idle := k.closeIfIdle(now); idle {
 			to.record(since, now)
 		}
 	}
