--- a/request/choice.go
+++ b/request/choice.go
@@ -119,7 +119,7 @@
 }
 
 // pickPlacedTarget returns the cheapest free target of those that run the service, or one
-// that is due for a probe, and true. It looks at all of them: they are only as many as
+// that is due for a probe, and true. It tries them one by one: there are only as many as
 // the job has replicas.
 func (s *Scheduler) pickPlacedTarget(now time.Time, v *service) (*target, bool) {
 	var best *target
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -176,7 +176,7 @@
 	require.Equal(t, int64(3), l.Next())
 }
 
-// TestAbandonedClaimIsNotWritten checks that a claim whose request was given up during a
+// TestAbandonedClaimIsNotWritten checks that a claim whose request was abandoned during a
 // platform outage does not take the id: when the caller retries with it, as it was told
 // to, the claim is granted.
 func TestAbandonedClaimIsNotWritten(t *testing.T) {
