--- a/request/callerstop_test.go
+++ b/request/callerstop_test.go
@@ -115,9 +115,9 @@
 	wait()
 }
 
-// TestStopAnswersRequestsThatArriveWhileOthersAreInFlight guards against the same while
-// the stop waits for a long request: others arrive meanwhile, on connections opened
-// before.
+// TestStopAnswersRequestsThatArriveWhileOthersAreInFlight guards against requests that
+// are read and dropped while the stop waits for a long one: they arrive on connections
+// opened before.
 func TestStopAnswersRequestsThatArriveWhileOthersAreInFlight(t *testing.T) {
 	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -222,9 +222,10 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestRequestAtIdleTimeoutIsServed guards against the same without a stop: a connection
-// is closed after a minute without a request, or ten seconds without a first one, and a
-// host that was stalled then finds both the deadline passed and a request.
+// TestRequestAtIdleTimeoutIsServed guards against a request lost at an idle timeout,
+// without a stop: a connection is closed after a minute without a request, or ten seconds
+// without a first one, and a host that was stalled then finds both the deadline passed
+// and a request.
 func TestRequestAtIdleTimeoutIsServed(t *testing.T) {
 	host, caller := acceptedPair(t)
 	_, err := caller.Write([]byte("request"))
@@ -271,8 +272,8 @@
 }
 
 // TestStopHonoursTimeoutAnnouncedByLastAnswers guards against a request lost on a
-// connection whose answer announced a timeout before the stop began, and ended after the
-// stop had already waited for idle connections.
+// connection whose answer announced a timeout before the stop began, but ended only after
+// the stop had waited for idle connections.
 func TestStopHonoursTimeoutAnnouncedByLastAnswers(t *testing.T) {
 	c, l := startCallerServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
