--- a/config/adopter.go
+++ b/config/adopter.go
@@ -16,7 +16,7 @@
 }
 
 // Adopter decides which head is in force. Its callers offer heads from any source; a
-// lower generation never replaces a higher one. It uses no clock and no I/O.
+// lower generation never replaces a higher one. It has no clock and does no I/O.
 type Adopter struct {
 	current *Snapshot
 	pending *Head
--- a/config/follower.go
+++ b/config/follower.go
@@ -161,7 +161,8 @@
 	return f.adopt(ctx, h, s)
 }
 
-// adopt fetches the sections that the head lacks from s, and puts it in force.
+// adopt offers the head to the adopter, fetches from s the sections that the pending head
+// still lacks, and puts that head in force once it is complete.
 func (f *Follower) adopt(ctx context.Context, h *Head, s Source) error {
 	f.mu.Lock()
 	f.adopter.Offer(h)
--- a/config/matcher.go
+++ b/config/matcher.go
@@ -1,7 +1,7 @@
 package config
 
-// Matcher finds the pool of a host. The time does not grow with the number of pools if
-// all selectors share a key for which each pool has its own values.
+// Matcher finds the pool of a host. The time of a lookup does not grow with the number of
+// pools if all selectors share a key for which each pool has its own values.
 type Matcher struct {
 	key    string
 	groups map[string][]Pool
--- a/config/publish.go
+++ b/config/publish.go
@@ -81,7 +81,8 @@
 // Publish puts the document in force as the generation after base, by one
 // compare-and-swap of the head. It returns *StaleError if another generation than base
 // is in force, and ErrUnknownOutcome if the outcome is still unknown when the retries or
-// the context end.
+// the context end. A document that changes nothing is not published: the head in force is
+// returned.
 func (p *Publisher) Publish(ctx context.Context, d *Document, base int64) (*Head, error) {
 	old, rev, err := ReadHead(ctx, p.store)
 	if err != nil {
@@ -162,7 +163,7 @@
 
 // resolveWrite reads the head until it shows whether the write took effect. A head that
 // is still the base shows nothing, since the write may arrive late. In that case the same
-// head is written again: the compare-and-swap lets only one of both writes take effect.
+// head is written again: the compare-and-swap lets only one of the two writes take effect.
 func (p *Publisher) resolveWrite(ctx context.Context, next *Head, base int64) error {
 	attempt := func() (struct{}, error) {
 		cur, rev, err := ReadHead(ctx, p.store)
--- a/config/sections.go
+++ b/config/sections.go
@@ -56,7 +56,8 @@
 	return h.WriteID == id || slices.Contains(h.RecentWrites, id)
 }
 
-// next returns the head that follows h, with the sections of d, and these sections.
+// next returns the head that follows h and lists the sections of d, and these sections
+// encoded, by hash.
 func (h *Head) next(d *Document, write string) (*Head, map[Hash][]byte, error) {
 	n := &Head{Generation: h.Generation + 1, WriteID: write, Sections: map[string]Hash{}}
 	if h.WriteID != "" {
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -13,8 +13,8 @@
 
 // PoolCapacity counts the hosts of a pool in one data centre.
 type PoolCapacity struct {
-	// Available is the number of hosts that are in service, and that the host
-	// list has as live and not leaving.
+	// Available is the number of hosts that are in service and that the host list
+	// shows as live and not leaving.
 	Available int `json:"available"`
 	// MinAvailable is the number of available hosts that the budget requires.
 	MinAvailable int `json:"need"`
@@ -27,48 +27,48 @@
 }
 
 // Buffer returns the number of available hosts above the required minimum.
-func (t PoolCapacity) Buffer() int {
-	return max(0, t.Available-t.MinAvailable)
+func (c PoolCapacity) Buffer() int {
+	return max(0, c.Available-c.MinAvailable)
 }
 
 // BudgetExhausted reports whether fewer hosts are available than the budget
-// requires. Failures have caused that, as no drain may.
-func (t PoolCapacity) BudgetExhausted() bool {
-	return t.Available < t.MinAvailable
+// requires. The cause is failures, since no drain is allowed to go that far.
+func (c PoolCapacity) BudgetExhausted() bool {
+	return c.Available < c.MinAvailable
 }
 
 // allowsDrain reports whether a host of the rack may be drained: without it, the
 // pool must still have its required minimum after the loss of any one whole rack.
-func (t PoolCapacity) allowsDrain(rack string) bool {
-	left := t.Available - 1
+func (c PoolCapacity) allowsDrain(rack string) bool {
+	left := c.Available - 1
 	largest := 0
-	for r, n := range t.racks {
+	for r, n := range c.racks {
 		if r == rack {
 			n--
 		}
 		largest = max(largest, n)
 	}
-	return left-largest >= t.MinAvailable
+	return left-largest >= c.MinAvailable
 }
 
 // remove subtracts one available host of the rack.
-func (t *PoolCapacity) remove(rack string) {
-	t.Available--
-	t.racks[rack]--
-	t.updateLargestRack()
+func (c *PoolCapacity) remove(rack string) {
+	c.Available--
+	c.racks[rack]--
+	c.updateLargestRack()
 }
 
 // add counts one more available host of the rack.
-func (t *PoolCapacity) add(rack string) {
-	t.Available++
-	t.racks[rack]++
-	t.updateLargestRack()
+func (c *PoolCapacity) add(rack string) {
+	c.Available++
+	c.racks[rack]++
+	c.updateLargestRack()
 }
 
-func (t *PoolCapacity) updateLargestRack() {
-	t.LargestRack = 0
-	for _, n := range t.racks {
-		t.LargestRack = max(t.LargestRack, n)
+func (c *PoolCapacity) updateLargestRack() {
+	c.LargestRack = 0
+	for _, n := range c.racks {
+		c.LargestRack = max(c.LargestRack, n)
 	}
 }
 
@@ -80,17 +80,17 @@
 		m[p.Name] = &PoolCapacity{MinAvailable: p.Budget.MinAvailable[dc], racks: map[string]int{}}
 	}
 	for _, w := range r.Hosts {
-		if t, ok := m[w.Pool]; ok {
-			t.Hosts++
+		if c, ok := m[w.Pool]; ok {
+			c.Hosts++
 		}
 	}
 	if IsListStale(now, l) {
 		return m
 	}
 	for _, h := range l.Hosts {
-		t, ok := m[r.Hosts[h.Name].Pool]
+		c, ok := m[r.Hosts[h.Name].Pool]
 		if ok && available(r.Hosts[h.Name], h) {
-			t.add(h.Rack)
+			c.add(h.Rack)
 		}
 	}
 	return m
--- a/fleet/operator.go
+++ b/fleet/operator.go
@@ -17,8 +17,8 @@
 // ErrNoHost is returned for a host that the data centre's record does not have.
 var ErrNoHost = errors.New("fleet: no such host in this data centre")
 
-// maxHoldTries bounds the attempts at an operator's change that conflicts with
-// other writes of the record.
+// maxHoldTries bounds the attempts at an operator's change while other writes of the
+// record conflict with it.
 const maxHoldTries = 10
 
 // Hold has a host drained and kept drained, or releases it. Releasing a host that
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -132,24 +132,24 @@
 func (p *placer) keepCurrent(j JobSpec) {
 	n := 0
 	for _, h := range p.Current[j.Name] {
-		b, ok := p.states[h]
-		if ok && n < j.Replicas && b.free.fits(j.Need) && !b.jobs[j.Name] {
-			p.assign(b, j.Name)
+		w, ok := p.states[h]
+		if ok && n < j.Replicas && w.free.fits(j.Need) && !w.jobs[j.Name] {
+			p.assign(w, j.Name)
 			n++
 		}
 	}
 }
 
-func (p *placer) assign(b *workerState, job string) {
-	b.jobs[job] = true
-	b.free = b.free.minus(p.needs[job])
-	p.racks[job][b.Rack]++
+func (p *placer) assign(w *workerState, job string) {
+	w.jobs[job] = true
+	w.free = w.free.minus(p.needs[job])
+	p.racks[job][w.Rack]++
 }
 
-func (p *placer) unassign(b *workerState, job string) {
-	delete(b.jobs, job)
-	b.free = b.free.plus(p.needs[job])
-	p.racks[job][b.Rack]--
+func (p *placer) unassign(w *workerState, job string) {
+	delete(w.jobs, job)
+	w.free = w.free.plus(p.needs[job])
+	p.racks[job][w.Rack]--
 }
 
 // addMissing adds the missing replicas of the job.
@@ -159,12 +159,12 @@
 		n += c
 	}
 	for ; n < j.Replicas; n++ {
-		b := p.bestWorker(j.Name, func(*workerState) bool { return true })
-		if b == nil {
+		w := p.bestWorker(j.Name, func(*workerState) bool { return true })
+		if w == nil {
 			p.out.Unplaced[j.Name] = p.reason(j, n)
 			return
 		}
-		p.assign(b, j.Name)
+		p.assign(w, j.Name)
 	}
 }
 
@@ -175,12 +175,12 @@
 func (p *placer) bestWorker(job string, allowed func(*workerState) bool) *workerState {
 	var best *workerState
 	for _, n := range p.names {
-		b := p.states[n]
-		if b.jobs[job] || !b.free.fits(p.needs[job]) || !allowed(b) {
+		w := p.states[n]
+		if w.jobs[job] || !w.free.fits(p.needs[job]) || !allowed(w) {
 			continue
 		}
-		if best == nil || p.better(job, b, best) {
-			best = b
+		if best == nil || p.better(job, w, best) {
+			best = w
 		}
 	}
 	return best
@@ -221,11 +221,11 @@
 func (p *placer) buildOutput() {
 	p.out.Placement = Placement{}
 	for _, n := range p.names {
-		b := p.states[n]
-		if len(b.jobs) > 0 {
+		w := p.states[n]
+		if len(w.jobs) > 0 {
 			p.out.UsedWorkers++
 		}
-		for j := range b.jobs {
+		for j := range w.jobs {
 			p.out.Placement[j] = append(p.out.Placement[j], n)
 		}
 	}
--- a/fleet/place_pack.go
+++ b/fleet/place_pack.go
@@ -17,20 +17,20 @@
 		return cmp.Compare(len(p.states[a].jobs), len(p.states[b].jobs))
 	})
 	for _, n := range order {
-		b := p.states[n]
-		moved := p.movesToEmpty(b)
-		if len(b.jobs) > 0 && float64(moved)*p.MoveWeight < p.BufferWeight {
-			p.tryEmpty(b)
+		w := p.states[n]
+		moved := p.movesToEmpty(w)
+		if len(w.jobs) > 0 && float64(moved)*p.MoveWeight < p.BufferWeight {
+			p.tryEmpty(w)
 		}
 	}
 }
 
 // movesToEmpty counts the moves that empty the worker. Replicas that are not there
 // yet in the current placement cost none.
-func (p *placer) movesToEmpty(b *workerState) int {
+func (p *placer) movesToEmpty(w *workerState) int {
 	n := 0
-	for j := range b.jobs {
-		if slices.Contains(p.Current[j], b.Name) {
+	for j := range w.jobs {
+		if slices.Contains(p.Current[j], w.Name) {
 			n++
 		}
 	}
@@ -40,23 +40,23 @@
 // tryEmpty moves all replicas of the worker to other workers in use, or changes
 // nothing. A replica goes to another rack only if that rack then has no more replicas
 // of the job than the worker's rack had.
-func (p *placer) tryEmpty(b *workerState) {
+func (p *placer) tryEmpty(w *workerState) {
 	type step struct {
 		job string
 		to  *workerState
 	}
 	var done []step
-	for _, j := range slices.Sorted(maps.Keys(b.jobs)) {
-		p.unassign(b, j)
-		limit := p.racks[j][b.Rack]
+	for _, j := range slices.Sorted(maps.Keys(w.jobs)) {
+		p.unassign(w, j)
+		limit := p.racks[j][w.Rack]
 		to := p.bestWorker(j, func(o *workerState) bool {
-			return o != b && len(o.jobs) > 0 && (p.racks[j][o.Rack] <= limit || o.Rack == b.Rack)
+			return o != w && len(o.jobs) > 0 && (p.racks[j][o.Rack] <= limit || o.Rack == w.Rack)
 		})
 		if to == nil {
-			p.assign(b, j)
+			p.assign(w, j)
 			for _, s := range done {
 				p.unassign(s.to, s.job)
-				p.assign(b, s.job)
+				p.assign(w, s.job)
 			}
 			return
 		}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -12,8 +12,8 @@
 const (
 	// OrderTTL is how long a reboot order may be sent before it has to be renewed.
 	// A host returns to service only after its order has expired, so OrderTTL also
-	// bounds how long after its reboot a host may stay out of service. Whether a
-	// new plan is due is checked twice a second.
+	// bounds how long a host stays out of service after its reboot, apart from the
+	// wait for the next plan. Whether one is due is checked twice a second.
 	OrderTTL = 3 * time.Second
 	// RebootTimeout is how long a reboot may take before the host is overdue.
 	RebootTimeout = 15 * time.Minute
@@ -64,7 +64,8 @@
 }
 
 // Plan computes the next record of a data centre. It changes nothing if the record
-// was made under a newer configuration than the one in the input.
+// was made under a newer configuration than the one in the input, or if the input has
+// none yet.
 func Plan(in Input) Output {
 	p := &planner{Input: in, out: Output{Record: in.Record.Clone(), Blocked: map[string]string{}}}
 	if in.Generation < in.Record.Generation || in.Generation == 0 {
@@ -181,8 +182,8 @@
 	}
 }
 
-// returnToService returns a host to service under a new term, or leaves it drained
-// if an operator holds it.
+// returnToService returns a host to service, or leaves it drained if an operator holds
+// it, in both cases under a new term.
 func (p *planner) returnToService(name string, w HostStatus) {
 	w.State = InService
 	w.Wave = ""
@@ -193,8 +194,8 @@
 		w.State = Drained
 	}
 	p.setHost(name, w)
-	if t, ok := p.capacities[w.Pool]; ok && available(w, p.listed[name]) && !p.listStale {
-		t.add(p.listed[name].Rack)
+	if c, ok := p.capacities[w.Pool]; ok && available(w, p.listed[name]) && !p.listStale {
+		c.add(p.listed[name].Rack)
 	}
 }
 
@@ -239,9 +240,10 @@
 	p.repeatOrder(name, w, h)
 }
 
-// repeatOrder adds the host's order to the output again, with a new deadline if the
-// order has expired: its coordinator may have died before it sent the order. The
-// platform carries out an order once per term.
+// repeatOrder adds the host's order to the output, which every plan does until the host
+// goes down or is overdue: an earlier coordinator may have died before it sent the order.
+// An order that has expired gets a new deadline. The platform carries out an order once
+// per term.
 func (p *planner) repeatOrder(name string, w HostStatus, h platform.Host) {
 	if w.State != Rebooting || !h.Live {
 		return
@@ -267,16 +269,16 @@
 // whether it did. A host that is not available anyway costs no budget.
 func (p *planner) drain(name string, w HostStatus) bool {
 	h := p.listed[name]
-	t, ok := p.capacities[w.Pool]
-	if ok && available(w, h) && !t.allowsDrain(h.Rack) {
+	c, ok := p.capacities[w.Pool]
+	if ok && available(w, h) && !c.allowsDrain(h.Rack) {
 		p.out.Blocked[name] = "the budget of pool " + w.Pool + " does not allow it"
-		if t.BudgetExhausted() {
+		if c.BudgetExhausted() {
 			p.out.Blocked[name] = "failures have used up the budget of pool " + w.Pool
 		}
 		return false
 	}
 	if ok && available(w, h) {
-		t.remove(h.Rack)
+		c.remove(h.Rack)
 	}
 	w.State = Draining
 	w.Term++
--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -54,7 +54,7 @@
 	memory *standin.FaultyStore
 	hosts  map[string]platform.Host
 	lists  []platform.HostList
-	// takenTerms has, by host, the term of the last order that the platform took.
+	// takenTerms has, by host, the term of the last order that the platform accepted.
 	takenTerms   map[string]int64
 	reboots      map[string]int
 	doc          *config.Document
@@ -170,8 +170,8 @@
 	m.gen++
 }
 
-// refresh lets one coordinator read some of the record, a possibly old host list and
-// the configuration.
+// refresh lets one coordinator read a possibly old host list, and also the record and
+// the configuration, or only one of them, or neither.
 func (m *fleetModel) refresh(t *rapid.T) {
 	m.t = t
 	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
--- a/fleet/plan_wave.go
+++ b/fleet/plan_wave.go
@@ -16,36 +16,36 @@
 }
 
 func (p *planner) runWave(v config.Wave) {
-	busy, overdue := p.countInWave(v.Name)
+	inMaintenance, overdue := p.countInWave(v.Name)
 	if overdue >= v.FailureLimit {
 		p.note("wave " + v.Name + " is stopped: hosts have not come back")
 		return
 	}
 	for _, n := range p.candidates(v) {
-		if busy >= v.MaxInMaintenance {
+		if inMaintenance >= v.MaxInMaintenance {
 			return
 		}
 		w := p.out.Record.Hosts[n]
 		w.Wave = v.Name
 		if p.drain(n, w) {
-			busy++
+			inMaintenance++
 		}
 	}
 }
 
 // countInWave returns how many hosts are in maintenance for the wave, and how many
 // of them are overdue from their reboot.
-func (p *planner) countInWave(name string) (busy, overdue int) {
+func (p *planner) countInWave(name string) (inMaintenance, overdue int) {
 	for _, w := range p.out.Record.Hosts {
 		if w.Wave != name {
 			continue
 		}
-		busy++
+		inMaintenance++
 		if w.State == Overdue {
 			overdue++
 		}
 	}
-	return busy, overdue
+	return inMaintenance, overdue
 }
 
 // candidates returns the hosts that the wave still has to maintain, ordered by rack.
--- a/fleet/preview.go
+++ b/fleet/preview.go
@@ -27,7 +27,8 @@
 	Waves []WavePreview `json:"waves"`
 	// Unplaced gives the reason for each job that lacks replicas.
 	Unplaced map[string]string `json:"unplaced,omitempty"`
-	// Blocked gives the reason for each host that cannot be moved or added.
+	// Blocked gives the reason for each host whose addition, drain, reboot or move
+	// has to wait.
 	Blocked map[string]string `json:"blocked,omitempty"`
 }
 
@@ -59,19 +60,19 @@
 			p.HostMoves++
 		}
 	}
-	t := PoolCapacities(in.Now, in.Document, in.DataCentre, o.Record, in.List)
-	for _, v := range t {
+	capacities := PoolCapacities(in.Now, in.Document, in.DataCentre, o.Record, in.List)
+	for _, v := range capacities {
 		p.Buffer += v.Buffer()
 	}
 	g := in.Document.Placement
 	p.Cost = g.MoveWeight*float64(p.JobMoves+int64(p.HostMoves)) + g.BufferWeight*float64(p.Buffer)
 	for _, v := range in.Document.Waves {
-		p.Waves = append(p.Waves, previewWave(v, o.Record, t))
+		p.Waves = append(p.Waves, previewWave(v, o.Record, capacities))
 	}
 	return p
 }
 
-func previewWave(v config.Wave, r Record, t map[string]*PoolCapacity) WavePreview {
+func previewWave(v config.Wave, r Record, capacities map[string]*PoolCapacity) WavePreview {
 	w := WavePreview{Name: v.Name}
 	for _, h := range r.Hosts {
 		if slices.Contains(v.Pools, h.Pool) && !slices.Contains(h.Done, v.Name) {
@@ -79,7 +80,7 @@
 		}
 	}
 	for _, n := range v.Pools {
-		w.AtOnce += t[n].maxUnavailable()
+		w.AtOnce += capacities[n].maxUnavailable()
 	}
 	w.AtOnce = min(w.AtOnce, v.MaxInMaintenance)
 	if w.AtOnce > 0 {
@@ -88,8 +89,8 @@
 	return w
 }
 
-// maxUnavailable returns how many hosts of the pool may be in maintenance at once,
-// if the largest rack is lost besides.
-func (t *PoolCapacity) maxUnavailable() int {
-	return max(0, t.Available-t.MinAvailable-t.LargestRack)
+// maxUnavailable returns how many hosts of the pool may be in maintenance at once, so
+// that the pool keeps its required minimum if the largest rack is lost as well.
+func (c *PoolCapacity) maxUnavailable() int {
+	return max(0, c.Available-c.MinAvailable-c.LargestRack)
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -37,8 +37,8 @@
 }
 
 // newSnapshot returns a snapshot with the hosts that may get work: those in service
-// that the last known list has as live and not leaving. An old list stays in use, so
-// that requests go on during an outage of the platform.
+// that the last known list shows as live and not leaving. An old list stays in use, so
+// that requests are still served during an outage of the platform.
 func newSnapshot(r Record, rev platform.Revision, l platform.HostList, at time.Time) *Snapshot {
 	s := &Snapshot{Record: r, Revision: rev, List: l, Usable: map[string]netip.AddrPort{}, ListedAt: at}
 	for _, h := range l.Hosts {
--- a/peers/dialer.go
+++ b/peers/dialer.go
@@ -23,8 +23,8 @@
 const (
 	dialTimeout    = 500 * time.Millisecond
 	maxRedialDelay = time.Second
-	// keepaliveTime ends a connection to a host that is gone while no call is made; gRPC
-	// allows no less. Calls detect silence sooner.
+	// keepaliveTime is the time between pings, which end a connection to a host that is
+	// gone while no call is made; gRPC allows no less. Calls detect silence sooner.
 	keepaliveTime = 10 * time.Second
 	// bufferBytes is the size of each buffer of a connection. Messages are
 	// small, and each process holds a connection to every other.
@@ -72,12 +72,12 @@
 	)
 }
 
-// CloseOthers closes the connections to all addresses that are not in l.
-func (d *Dialer) CloseOthers(l map[netip.AddrPort]bool) {
+// CloseOthers closes the connections to all addresses that are not in keep.
+func (d *Dialer) CloseOthers(keep map[netip.AddrPort]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for a, c := range d.conns {
-		if !l[a] {
+		if !keep[a] {
 			c.close()
 			delete(d.conns, a)
 		}
--- a/peers/discovery.go
+++ b/peers/discovery.go
@@ -144,10 +144,10 @@
 	}
 	if s.store.Delete(ctx, e.Key, e.Revision) == nil {
 		delete(s.unseenReads, e.Key)
-		s.log.Infof("address of %s removed", m.Name)
+		s.log.Infof("address of %s removed from the store", m.Name)
 	}
 }
 
-// MemberPrefix begins the key under which each entry host writes its address once, at its
-// start.
+// MemberPrefix begins the key under which each entry host writes its address at its start,
+// and again if the key has been removed.
 const MemberPrefix = "members/"
--- a/peers/generations.go
+++ b/peers/generations.go
@@ -7,8 +7,8 @@
 	"amberway/peers/peerspb"
 )
 
-// Generations asks every live member which generation it has in force. One
-// that does not answer is left out.
+// Generations asks every live member which generation of the configuration it has in
+// force. Members that do not answer are left out.
 func (s *Service) Generations(ctx context.Context) map[string]int64 {
 	out := map[string]int64{s.Self.Name: s.Generation()}
 	var mu sync.Mutex
--- a/peers/service.go
+++ b/peers/service.go
@@ -15,18 +15,20 @@
 	"amberway/platform"
 )
 
-// probeTimeout bounds one probe, direct or through a helper.
+// probeTimeout bounds one attempt at a probe. A call has twice that time, for a second
+// attempt on a new connection, or for the probe that a helper makes.
 const probeTimeout = 400 * time.Millisecond
 
 // Intervals of the search for entry hosts that the process does not know.
 const (
-	// discoverInterval is how often a process that knows no other looks for one.
+	// discoverInterval is the time between two rounds of the search, without jitter. A
+	// process that knows no other probes all addresses in every round.
 	discoverInterval = 2 * time.Second
-	// seedRounds is the number of rounds of the search between two probes of a seed, for a
-	// process that knows others.
+	// seedRounds is the number of rounds between two probes of a seed, for a process that
+	// knows others.
 	seedRounds = 4
 	// registryRounds is the number of rounds between two reads of the addresses in the
-	// platform's store.
+	// platform's store, for a process that knows others.
 	registryRounds = 20
 )
 
@@ -36,7 +38,8 @@
 	// Seeds are the configured addresses of peers.
 	Seeds   []netip.AddrPort
 	Options Options
-	// Generation returns the generation in force, which is sent with each probe.
+	// Generation returns the generation of the configuration in force, which is sent with
+	// each probe.
 	Generation func() int64
 	// OnGeneration is called when a peer has a higher generation.
 	OnGeneration func(ctx context.Context, m Member)
--- a/peers/share_holders.go
+++ b/peers/share_holders.go
@@ -100,9 +100,8 @@
 	s.log.Infof("process of %s has ended", m.Name)
 }
 
-// PullTables asks every live member of the data centre for its table, for use after a
-// pause of the process, in which others may have joined. Members that do not answer are
-// left out.
+// PullTables merges the tables of all live members of the data centre that answer. It is
+// called after a pause of the process, during which others may have joined.
 func (s *Service) PullTables(ctx context.Context) {
 	var g sync.WaitGroup
 	for _, m := range s.Live() {
--- a/peers/silence_test.go
+++ b/peers/silence_test.go
@@ -49,9 +49,9 @@
 	return p, v, d
 }
 
-// probe sends one probe with the timeout within.
-func probe(t *testing.T, d *Dialer, at netip.AddrPort, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+// probe sends one probe and returns its error.
+func probe(t *testing.T, d *Dialer, at netip.AddrPort, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	c, err := d.Conn(at)
 	require.NoError(t, err)
