--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -41,9 +41,9 @@
 }
 
 // isIdle follows the same rule as PeerServer.
-func (s *modelEntryHost) isIdle(host string, term int64) bool {
-	w := s.record.Hosts[host]
-	return w.Term >= term && w.State != InService && s.running[host] == 0
+func (e *modelEntryHost) isIdle(host string, term int64) bool {
+	w := e.record.Hosts[host]
+	return w.Term >= term && w.State != InService && e.running[host] == 0
 }
 
 // fleetModel is a data centre with hosts and racks that fail, two coordinators, two
@@ -174,17 +174,17 @@
 // the configuration, or only one of them, or neither.
 func (m *fleetModel) refresh(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
+	c := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
 	if rapid.Bool().Draw(t, "record") {
-		a.record, a.revision = m.stored()
+		c.record, c.revision = m.stored()
 	}
 	back := rapid.IntRange(0, min(3, len(m.lists)-1)).Draw(t, "lag")
-	if l := m.lists[len(m.lists)-1-back]; l.AsOf.After(a.list.AsOf) {
-		a.list = l
+	if l := m.lists[len(m.lists)-1-back]; l.AsOf.After(c.list.AsOf) {
+		c.list = l
 	}
 	if rapid.Bool().Draw(t, "config") {
-		a.doc = m.doc
-		a.gen = m.gen
+		c.doc = m.doc
+		c.gen = m.gen
 	}
 }
 
@@ -203,45 +203,45 @@
 // plan lets one coordinator make a plan and write its record.
 func (m *fleetModel) plan(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
+	c := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
 	in := Input{
-		Now: m.now, Document: a.doc, Generation: a.gen, DataCentre: testDC,
-		Record: a.record, List: a.list, IdleTerms: a.idle,
+		Now: m.now, Document: c.doc, Generation: c.gen, DataCentre: testDC,
+		Record: c.record, List: c.list, IdleTerms: c.idle,
 	}
 	o := Plan(in)
 	if !o.Changed {
-		a.orders = o.Orders
+		c.orders = o.Orders
 		return
 	}
 	next := o.Record
-	next.Version = a.record.Version + 1
-	next.Generation = a.gen
+	next.Version = c.record.Version + 1
+	next.Generation = c.gen
 	b, err := json.Marshal(next)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rev, err := m.memory.Swap(context.Background(), RecordKey(testDC), b, a.revision)
+	rev, err := m.memory.Swap(context.Background(), RecordKey(testDC), b, c.revision)
 	m.checkSwap(in, next, mayBeInForce(err))
 	if err != nil {
-		a.record, a.revision = m.stored()
+		c.record, c.revision = m.stored()
 		return
 	}
-	a.record = next
-	a.revision = rev
-	a.orders = o.Orders
+	c.record = next
+	c.revision = rev
+	c.orders = o.Orders
 }
 
 // ask lets one coordinator ask the entry hosts which hosts are idle.
 func (m *fleetModel) ask(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
-	a.idle = m.idleHosts(a.record)
+	c := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
+	c.idle = m.idleHosts(c.record)
 }
 
 func (m *fleetModel) idleHosts(r Record) map[string]int64 {
 	idle := map[string]int64{}
 	for n, w := range r.Hosts {
-		all := !slices.ContainsFunc(m.entryHosts, func(s *modelEntryHost) bool { return !s.isIdle(n, w.Term) })
+		all := !slices.ContainsFunc(m.entryHosts, func(e *modelEntryHost) bool { return !e.isIdle(n, w.Term) })
 		if w.State == Draining && all {
 			idle[n] = w.Term
 		}
@@ -334,14 +334,14 @@
 }
 
 func (m *fleetModel) anyRuns(host string) bool {
-	return slices.ContainsFunc(m.entryHosts, func(s *modelEntryHost) bool { return s.running[host] > 0 })
+	return slices.ContainsFunc(m.entryHosts, func(e *modelEntryHost) bool { return e.running[host] > 0 })
 }
 
 // sendOrders lets one coordinator send its orders, possibly late.
 func (m *fleetModel) sendOrders(t *rapid.T) {
 	m.t = t
-	a := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
-	for _, o := range a.orders {
+	c := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
+	for _, o := range c.orders {
 		if !m.now.Before(o.Deadline) || o.Term <= m.takenTerms[o.Host] {
 			continue
 		}
@@ -368,9 +368,9 @@
 // refreshEntryHost lets one entry host read the stored record.
 func (m *fleetModel) refreshEntryHost(t *rapid.T) {
 	m.t = t
-	s := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
-	if r, _ := m.stored(); r.Version > s.record.Version {
-		s.record = r
+	e := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
+	if r, _ := m.stored(); r.Version > e.record.Version {
+		e.record = r
 	}
 }
 
@@ -378,14 +378,14 @@
 // service.
 func (m *fleetModel) run(t *rapid.T) {
 	m.t = t
-	s := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
+	e := rapid.SampledFrom(m.entryHosts).Draw(t, "sender")
 	h := m.someHost()
-	if s.running[h.Name] > 0 && rapid.Bool().Draw(t, "end") {
-		s.running[h.Name]--
+	if e.running[h.Name] > 0 && rapid.Bool().Draw(t, "end") {
+		e.running[h.Name]--
 		return
 	}
-	if s.record.Hosts[h.Name].State == InService && h.Live {
-		s.running[h.Name]++
+	if e.record.Hosts[h.Name].State == InService && h.Live {
+		e.running[h.Name]++
 	}
 }
 
--- a/peers/silence_test.go
+++ b/peers/silence_test.go
@@ -60,11 +60,11 @@
 }
 
 func TestProbeIsRetriedOnANewConnection(t *testing.T) {
-	for name, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
+	for name, direction := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
 		t.Run(name, func(t *testing.T) {
 			_, v, d := newSilentPeer(t)
 			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout))
-			require.Equal(t, 1, v.Silence(w))
+			require.Equal(t, 1, v.Silence(direction))
 			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout), "the probe is repeated on a new connection")
 			require.NoError(t, probe(t, d, v.Address(), probeTimeout))
 			require.Equal(t, int64(2), v.Opened())
