--- a/peers/silence_test.go
+++ b/peers/silence_test.go
@@ -49,9 +49,9 @@
 	return p, v, d
 }
 
-// probe sends one probe with the timeout within.
-func probe(t *testing.T, d *Dialer, at netip.AddrPort, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+// probe sends one probe and returns its error.
+func probe(t *testing.T, d *Dialer, at netip.AddrPort, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	c, err := d.Conn(at)
 	require.NoError(t, err)
@@ -60,11 +60,11 @@
 }
 
 func TestProbeIsRetriedOnANewConnection(t *testing.T) {
-	for name, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
+	for name, direction := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
 		t.Run(name, func(t *testing.T) {
 			_, v, d := newSilentPeer(t)
 			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout))
-			require.Equal(t, 1, v.Silence(w))
+			require.Equal(t, 1, v.Silence(direction))
 			require.NoError(t, probe(t, d, v.Address(), 2*probeTimeout), "the probe is repeated on a new connection")
 			require.NoError(t, probe(t, d, v.Address(), probeTimeout))
 			require.Equal(t, int64(2), v.Opened())
