--- a/admin/api.go
+++ b/admin/api.go
@@ -52,7 +52,7 @@
 	Rack    string `json:"rack"`
 	Live    bool   `json:"live"`
 	Leaving bool   `json:"leaving"`
-	// Blocked is why its drain waits.
+	// Blocked is the reason if its addition, drain, reboot or move has to wait.
 	Blocked string `json:"blocked,omitempty"`
 }
 
@@ -63,7 +63,7 @@
 	config.Job
 	// Hosts are the hosts that it is placed on; empty if it may run on all of its pool.
 	Hosts []string `json:"hosts"`
-	// Unplaced is why it lacks replicas.
+	// Unplaced is the reason if it lacks replicas.
 	Unplaced string `json:"unplaced,omitempty"`
 }
 
--- a/admin/fleet.go
+++ b/admin/fleet.go
@@ -26,15 +26,15 @@
 	c := s.View.Current()
 	// A plan made here shows what each host waits for, even if another entry host is the
 	// coordinator.
-	g := s.Follower.Current()
-	blocked := fleet.Plan(s.planInput(c, g.Document, g.Head.Generation)).Blocked
+	cfg := s.Follower.Current()
+	blocked := fleet.Plan(s.planInput(c, cfg.Document, cfg.Head.Generation)).Blocked
 	l := []Host{}
 	for _, h := range c.List.Hosts {
-		w, ok := c.Record.Hosts[h.Name]
+		status, ok := c.Record.Hosts[h.Name]
 		if !ok {
 			continue
 		}
-		l = append(l, Host{Name: h.Name, HostStatus: w, Rack: h.Rack, Live: h.Live, Leaving: h.Leaving, Blocked: blocked[h.Name]})
+		l = append(l, Host{Name: h.Name, HostStatus: status, Rack: h.Rack, Live: h.Live, Leaving: h.Leaving, Blocked: blocked[h.Name]})
 	}
 	slices.SortFunc(l, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
 	return l, nil
@@ -74,8 +74,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n := s.Follower.Current()
-	d := *n.Document
+	cfg := s.Follower.Current()
+	d := *cfg.Document
 	d.Waves = slices.Clone(d.Waves)
 	i := slices.IndexFunc(d.Waves, func(v config.Wave) bool { return v.Name == r.PathValue("name") })
 	if i < 0 {
@@ -85,5 +85,5 @@
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
-	return s.publish(r.Context(), &d, n.Head.Generation)
+	return s.publish(r.Context(), &d, cfg.Head.Generation)
 }
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -79,7 +79,7 @@
 		return ExitFailed
 	}
 	if err := d.run(ctx); err != nil {
-		d.log.Errorf("ended: %v", err)
+		d.log.Errorf("failed: %v", err)
 		return ExitFailed
 	}
 	return ExitOK
@@ -97,12 +97,12 @@
 	return l
 }
 
-// logTimeFormat is the format of times in the log. It has milliseconds because that is how
-// close an owner's decisions follow each other.
+// logTimeFormat is the format of times in the log. It has milliseconds because an owner's
+// decisions can be that close together.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// run serves until the context ends, and then stops without cutting off a
-// request in flight.
+// run serves until the context ends or a server fails. At the end of the context, it stops
+// the servers and waits for the requests in flight.
 func (d *requestsDaemon) run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/commands/graceful_server.go
+++ b/commands/graceful_server.go
@@ -17,7 +17,7 @@
 
 // newGracefulServer listens at the address for the handler. Answers announce to callers
 // that they may use an idle connection for keepAlive. During a stop, an idle connection
-// stays open for the grace, and until keepAlive has passed.
+// stays open for the grace period and for keepAlive, whichever is longer.
 func newGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, keepAlive, grace time.Duration) (gracefulServer, error) {
 	l, err := request.ListenForCallers(ctx, at)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return s.Stop(ctx, s.listener)
 }
 
-// keepAliveTimeout returns for how long at least an idle connection stays open in a stop.
+// keepAliveTimeout returns the minimum time that an idle connection stays open during a stop.
 func (s Settings) keepAliveTimeout() time.Duration {
 	return request.KeepAliveTimeout(s.StopDelay, s.StopWithin)
 }
--- a/commands/jobs.go
+++ b/commands/jobs.go
@@ -34,10 +34,10 @@
 	// headerTimeout bounds the reading of a request's headers.
 	headerTimeout = 5 * time.Second
 	// idleTimeout is how long an idle connection stays open. The load balancer polls
-	// readiness every few seconds.
+	// readiness every few seconds, and keeps its connection between two polls.
 	idleTimeout = 60 * time.Second
-	// logFlushTimeout bounds the wait until the last log lines are written. They show how
-	// the stop went, and without the wait the process could exit before them.
+	// logFlushTimeout bounds the wait at exit for the last log lines to be written. They
+	// show how the stop went, and without the wait the process could exit first.
 	logFlushTimeout = 200 * time.Millisecond
 	// settingsPollInterval is how often the settings file is checked for a change
 	// without a signal.
@@ -90,7 +90,7 @@
 	return ExitOK
 }
 
-// size returns the resources of the host by the settings.
+// size returns the host's resources as given in the settings.
 func (s Settings) size() job.Size {
 	return job.Size{Cores: s.Cores, LinkMbps: s.LinkMbps, MemoryMB: s.MemoryMB, OrdersPerSecond: s.OrderRate}
 }
@@ -122,7 +122,7 @@
 	return d.stop(callers, peers, ready)
 }
 
-// startGracefulServer starts to serve the handler at the address in a goroutine, which
+// startGracefulServer listens at the address and serves the handler in a goroutine, which
 // sends an error to failed.
 func (d *jobsDaemon) startGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, grace time.Duration, failed chan<- error) (gracefulServer, error) {
 	s, err := newGracefulServer(ctx, at, h, d.settings.keepAliveTimeout(), grace)
@@ -150,7 +150,7 @@
 	return m
 }
 
-// startServer starts to serve the handler at the address in a goroutine, which sends an
+// startServer listens at the address and serves the handler in a goroutine, which sends an
 // error to failed.
 func startServer(ctx context.Context, at netip.AddrPort, h http.Handler, failed chan<- error) (*http.Server, error) {
 	var c net.ListenConfig
@@ -188,8 +188,8 @@
 	defer cancel()
 	common.Sleep(stopCtx, d.settings.StopDelay)
 	var g sync.WaitGroup
-	// Errors are ignored: another entry host whose call is cut off repeats it, or finds out
-	// whether it was carried out.
+	// The error is ignored: another entry host whose call is cut off repeats it, or finds
+	// out whether it was carried out.
 	g.Go(func() { _ = d.stopServer(stopCtx, peers, "peers' listener closed") })
 	err := d.stopServer(stopCtx, callers, "callers' listener closed")
 	g.Wait()
@@ -201,11 +201,11 @@
 // stopServer stops the server and logs the report of its stop.
 func (d *jobsDaemon) stopServer(ctx context.Context, s gracefulServer, what string) error {
 	r, err := s.stop(ctx)
-	n := job.LogLine{What: what, Fields: r.LogFields()}
+	line := job.LogLine{What: what, Fields: r.LogFields()}
 	if err != nil {
-		n.Why = err.Error()
+		line.Why = err.Error()
 	}
-	d.log.Write(n)
+	d.log.Write(line)
 	return err
 }
 
@@ -227,7 +227,7 @@
 		case <-t.C:
 			if at := d.settingsModTime(); !at.Equal(d.lastModTime) {
 				d.lastModTime = at
-				d.reload("the file has changed")
+				d.reload("settings file changed")
 			}
 		}
 	}
@@ -255,14 +255,15 @@
 	d.log.Write(job.LogLine{What: "settings reloaded", Why: why, Fields: []any{"level", s.LogLevel, "restart_needed", d.needsRestart(c)}})
 }
 
-// needsRestart reports whether the settings contain a change that only a restart applies.
+// needsRestart reports whether an address differs from the one in use, which takes a
+// restart to apply.
 func (d *jobsDaemon) needsRestart(c parsedSettings) bool {
 	o := d.parsed
 	return c.callers != o.callers || c.peers != o.peers || c.ready != o.ready ||
 		c.store != o.store || c.machines != o.machines || c.advice != o.advice
 }
 
-// textWriter is an io.Writer that collects the text.
+// textWriter is an io.Writer that collects what is written.
 type textWriter string
 
 // Write implements io.Writer.
--- a/commands/routing.go
+++ b/commands/routing.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// syncShares updates the shares by the membership. It reports whether they may have
+// syncShares updates the shares from the membership. It reports whether they may have
 // changed. The caller holds sharesMu.
 func (d *requestsDaemon) syncShares() bool {
 	return d.shares.SetMembers(d.deps.Now(), d.members.ShareHolders(d.settings.DataCentre))
@@ -95,13 +95,13 @@
 		if _, ok := v.Usable[h.Name]; !ok {
 			continue
 		}
-		n := shares.Of(h.Name, min(h.Slots, h.Connections))
-		l = append(l, request.TargetSpec{Name: h.Name, Pool: v.Record.Hosts[h.Name].Pool, Slots: n})
+		slots := shares.Of(h.Name, min(h.Slots, h.Connections))
+		l = append(l, request.TargetSpec{Name: h.Name, Pool: v.Record.Hosts[h.Name].Pool, Slots: slots})
 	}
 	return l
 }
 
-// syncInterval is how often the shares are updated by the membership, and how often a
+// syncInterval is how often the shares are updated from the membership, and how often a
 // stale view is fetched from a peer.
 const syncInterval = 500 * time.Millisecond
 
--- a/commands/settings.go
+++ b/commands/settings.go
@@ -43,8 +43,8 @@
 	Profile    bool     `arg:"--profile,env:AMBERWAY_PROFILE" yaml:"profile" help:"serve profiles of this process under /debug/pprof/, beside the metrics; with --store"`
 	LogFormat  string   `arg:"--log-format,env:AMBERWAY_LOG_FORMAT" yaml:"log-format" help:"text or json" placeholder:"FORMAT"`
 	LogLevel   string   `arg:"--log-level,env:AMBERWAY_LOG_LEVEL" yaml:"log-level" help:"error, warning, info or debug" placeholder:"LEVEL"`
-	// ConfigWithin, KeysWithin, StopDelay and StopWithin are durations; deadlines are
-	// computed from them when a watch or the stop begins.
+	// The following are durations; deadlines are computed from them when a watch or the stop
+	// begins.
 	ConfigWithin time.Duration `arg:"--config-within,env:AMBERWAY_CONFIG_WITHIN" yaml:"config-within" help:"time from the store's acknowledgement of a configuration until it has to be in force; with --store" placeholder:"TIME"`
 	KeysWithin   time.Duration `arg:"--keys-within,env:AMBERWAY_KEYS_WITHIN" yaml:"keys-within" help:"how long a team's key that was taken away may go on working; if given, callers of queues that are not public need a key; with --store" placeholder:"TIME"`
 	StopDelay    time.Duration `arg:"--stop-delay,env:AMBERWAY_STOP_DELAY" yaml:"stop-delay" help:"how long a stopping daemon takes requests while the balancer learns of it" placeholder:"TIME"`
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("%d bad settings:\n  %s", len(e), strings.Join(e, "\n  "))
 }
 
-// parsedSettings holds the settings that need parsing, as values.
+// parsedSettings holds the values of the settings that need parsing.
 type parsedSettings struct {
 	callers  netip.AddrPort
 	admin    netip.AddrPort
@@ -156,9 +156,9 @@
 	}
 }
 
-// minConfigWithin is the smallest valid ConfigWithin. A watch waits for half of it: with a
-// smaller one, watches would make more than four calls a second, and the fifth of
-// ConfigWithin that an answer may take beyond the wait would be too short for most answers.
+// minConfigWithin is the smallest valid ConfigWithin. A watch waits for half of ConfigWithin,
+// and its answer may take another fifth. With a smaller value, watches would make more than
+// four calls a second, and that fifth would be too short for most answers.
 const minConfigWithin = 500 * time.Millisecond
 
 // checkJobSettings parses and checks the settings that only a daemon for jobs needs.
--- a/commands/tool.go
+++ b/commands/tool.go
@@ -239,7 +239,7 @@
 }
 
 // waitInForce returns once every live entry host has the generation in force. It fails if
-// that takes longer than the given time.
+// that is not so by the given time.
 func (t *tool) waitInForce(ctx context.Context, gen int64, until time.Time) error {
 	for time.Now().Before(until) {
 		s, err := t.client.Status(ctx)
--- a/common/attempt.go
+++ b/common/attempt.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// attempt is one try to make a call.
+// attempt is one attempt at a call.
 type attempt struct {
 	InFlightCall
 	Request
@@ -55,7 +55,7 @@
 	return a
 }
 
-// makeCancellable lets the attempt be ended for other causes than the end of its context.
+// makeCancellable makes it possible to end the attempt before its context ends.
 func (a *attempt) makeCancellable() {
 	a.ctx, a.cancel = context.WithCancelCause(a.ctx)
 }
@@ -88,8 +88,8 @@
 	}
 }
 
-// startTimer ends the call after d unless the timer is stopped or reset. A new connection
-// that receives nothing is not silent: the other side is slow.
+// startTimer ends the call after d unless the timer is stopped or reset. Only a reused
+// connection that receives nothing counts as silent: on a new one, the other side is slow.
 func (a *attempt) startTimer(d time.Duration) {
 	why := errStalled
 	if a.reused {
@@ -152,8 +152,9 @@
 	return a.connectedAt.Add(a.Wait)
 }
 
-// checkSilence returns why the call's connection counts as silent, or nil. If the call
-// itself has found the silence, other connections to its address are distrusted too.
+// checkSilence returns why the call's connection counts as silent, or nil. If it is this call
+// that got no answer in time, other connections to its address are distrusted too. An
+// overdue answer on a new connection is no silence.
 func (a *attempt) checkSilence() error {
 	why := context.Cause(a.ctx)
 	if errors.Is(why, errDistrusted) {
--- a/common/common_test.go
+++ b/common/common_test.go
@@ -43,7 +43,7 @@
 func (m *heapModel) remove(t *rapid.T) {
 	for e := range m.entries {
 		if !m.heap.Remove(e) || m.heap.Remove(e) {
-			t.Fatal("an item was in the heap twice, or not at all")
+			t.Fatal("Remove did not find an item in the heap, or removed it twice")
 		}
 		delete(m.entries, e)
 		return
--- a/common/connection_group.go
+++ b/common/connection_group.go
@@ -23,8 +23,8 @@
 
 // silence is the last silence of a connection to one address.
 type silence struct {
-	// due is when the reused connection should have got the answer, answeredAt when a
-	// new one did.
+	// due is when the answer should have come on the reused connection, answeredAt when it
+	// came on a new one.
 	due, answeredAt time.Time
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// reportSilence records that a new connection to the address has got an answer after a
-// reused one had not by due.
+// reportSilence records that a new connection to the address has got an answer, while a
+// reused one had got none by due.
 func (g *ConnectionGroup) reportSilence(address string, due, now time.Time) {
 	if g == nil {
 		return
@@ -55,14 +55,14 @@
 // record records the silence of the address. It reports whether another address was silent
 // within silenceWindow, and returns the time since which a connection must have received
 // something to be trusted. If two addresses were silent, all recorded silences are cleared.
-func (g *ConnectionGroup) record(address string, n silence) (time.Time, bool) {
+func (g *ConnectionGroup) record(address string, newest silence) (time.Time, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.silences[address] = n
-	since, together := n.due, false
+	g.silences[address] = newest
+	since, together := newest.due, false
 	for a, v := range g.silences {
 		switch {
-		case n.answeredAt.Sub(v.answeredAt) > silenceWindow:
+		case newest.answeredAt.Sub(v.answeredAt) > silenceWindow:
 			delete(g.silences, a)
 		case a != address:
 			together = true
--- a/common/connections.go
+++ b/common/connections.go
@@ -9,9 +9,9 @@
 )
 
 // Connections are the open connections of one client, by address. A connection may
-// become silent for good, without a reset, while new ones work. All that were opened
-// before the silence may be as dead as the one that is found silent, so they are
-// abandoned together.
+// become silent for good, without a reset, while new ones work. All that have received
+// nothing since may be as dead as the one that is found silent, so they are abandoned
+// together.
 type Connections struct {
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 	createdAt time.Time
@@ -38,7 +38,7 @@
 	conns   *Connections
 	address string
 	// lastActive is when it was opened or last received something, as a duration since
-	// createdAt of the set, so that it is read and written without a lock.
+	// conns.createdAt, so that it is read and written without a lock.
 	lastActive atomic.Int64
 	// sent and received count its bytes.
 	sent, received atomic.Int64
@@ -50,13 +50,13 @@
 // InFlightCall is one call in flight on a connection.
 type InFlightCall struct {
 	conn *connection
-	// kind is the call's kind in Traffic.
+	// kind is the kind by which Traffic counts the call.
 	kind string
 	// sentBefore and receivedBefore are the bytes that its connection had carried when the
 	// call began.
 	sentBefore, receivedBefore int64
-	// abandon ends the call if its connection is no longer trusted; nil for a call that
-	// must not be ended so.
+	// abandon ends the call if its connection is no longer trusted. It is nil for a call
+	// that has to go on.
 	abandon func()
 }
 
@@ -123,11 +123,11 @@
 	}
 }
 
-// Begin records that the call is in flight on the connection, and no longer on an
+// Begin records that the call is in flight on the connection n, and no longer on an
 // earlier one. n was opened by Dial, or is a TLS connection over one that was. onDistrust
-// is called once the connection is no longer trusted; it is nil for a call that must
-// not be ended so.
-func (o *Connections) Begin(u *InFlightCall, n net.Conn, onDistrust func()) {
+// is called once the connection is no longer trusted; it is nil for a call that has to go
+// on.
+func (o *Connections) Begin(call *InFlightCall, n net.Conn, onDistrust func()) {
 	c, ok := n.(*connection)
 	if t, wraps := n.(interface{ NetConn() net.Conn }); !ok && wraps {
 		c, ok = t.NetConn().(*connection)
@@ -137,27 +137,27 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	u.detach()
-	u.conn, u.abandon = c, onDistrust
-	u.sentBefore, u.receivedBefore = c.sent.Load(), c.received.Load()
-	c.calls[u] = true
+	call.detach()
+	call.conn, call.abandon = c, onDistrust
+	call.sentBefore, call.receivedBefore = c.sent.Load(), c.received.Load()
+	c.calls[call] = true
 }
 
 // End records that the call is over.
-func (o *Connections) End(u *InFlightCall) {
+func (o *Connections) End(call *InFlightCall) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	u.detach()
+	call.detach()
 }
 
-func (u *InFlightCall) detach() {
-	c := u.conn
+func (call *InFlightCall) detach() {
+	c := call.conn
 	if c == nil {
 		return
 	}
-	c.conns.traffic.add(u.kind, c.sent.Load()-u.sentBefore, c.received.Load()-u.receivedBefore)
-	delete(c.calls, u)
-	u.conn = nil
+	c.conns.traffic.add(call.kind, c.sent.Load()-call.sentBefore, c.received.Load()-call.receivedBefore)
+	delete(c.calls, call)
+	call.conn = nil
 }
 
 // Distrust closes the idle connections to the address of a call that got no answer,
@@ -165,8 +165,8 @@
 // connection was reused, it has become silent, and the connections of other calls may
 // be silent too: those calls that have an abandon function are abandoned. The others go
 // on, and their connections stay open if they still get answers.
-func (o *Connections) Distrust(u *InFlightCall, since time.Time, reused bool) {
-	idle, calls := o.silentWith(u, since)
+func (o *Connections) Distrust(call *InFlightCall, since time.Time, reused bool) {
+	idle, calls := o.silentWith(call, since)
 	if !reused {
 		// The other side may only be slow; repeated calls would add to its load.
 		calls = nil
@@ -199,13 +199,13 @@
 
 // silentWith returns the silent connections to the address of the call, as silentSince
 // does.
-func (o *Connections) silentWith(u *InFlightCall, since time.Time) ([]*connection, []func()) {
+func (o *Connections) silentWith(call *InFlightCall, since time.Time) ([]*connection, []func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if u.conn == nil {
+	if call.conn == nil {
 		return nil, nil
 	}
-	return silentSince(o.open[u.conn.address], since)
+	return silentSince(o.open[call.conn.address], since)
 }
 
 // silentSince considers the connections that have received nothing since the given time.
@@ -220,9 +220,9 @@
 		if len(c.calls) == 0 {
 			idle = append(idle, c)
 		}
-		for u := range c.calls {
-			if u.abandon != nil {
-				calls = append(calls, u.abandon)
+		for call := range c.calls {
+			if call.abandon != nil {
+				calls = append(calls, call.abandon)
 			}
 		}
 	}
--- a/common/deps.go
+++ b/common/deps.go
@@ -8,8 +8,8 @@
 	"go.opentelemetry.io/otel/metric/noop"
 )
 
-// Deps is passed to every part at construction. Nothing in amberway uses globals
-// instead.
+// Deps are dependencies that the constructors of all parts take. Nothing in amberway uses
+// globals instead.
 type Deps struct {
 	// Logger receives every log line.
 	Logger *logrus.Logger
--- a/common/heap.go
+++ b/common/heap.go
@@ -8,7 +8,7 @@
 	items heapItems[T]
 }
 
-// HeapEntry holds one item of a Heap, and serves to remove it.
+// HeapEntry holds one item of a Heap, and identifies it for Remove.
 type HeapEntry[T any] struct {
 	Value T
 	index int
--- a/common/http_client.go
+++ b/common/http_client.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Limits of one HTTPClient.
+// Timeouts and limits of an HTTPClient.
 const (
 	// dialTimeout bounds the opening of a connection. That takes a few milliseconds, but
 	// TCP resends a lost opening packet only after one second.
@@ -26,7 +26,7 @@
 	// beyond the time that the other side was asked to wait. When a call has got no answer
 	// by then, other connections that have received something since are still trusted.
 	usualAnswerTime = 100 * time.Millisecond
-	// minSilence is how overdue an answer must be when the call's deadline passes for the
+	// minSilence is how long an answer must be overdue at the call's deadline for the
 	// connection to count as silent: a slow store takes a quarter of a second to answer.
 	minSilence = 250 * time.Millisecond
 )
@@ -45,8 +45,9 @@
 	errOverdue = fmt.Errorf("%w: answer overdue", ErrSilent)
 	// errStalled ends a call whose new connection has received nothing for its StallTimeout.
 	errStalled = fmt.Errorf("%w: answer stalled", ErrUnknownOutcome)
-	// errDistrusted ends a call whose connection is no newer than a silent one.
-	errDistrusted = fmt.Errorf("%w, like another to its address", ErrSilent)
+	// errDistrusted ends a call whose connection has received nothing since another one
+	// became silent.
+	errDistrusted = fmt.Errorf("%w, like another one", ErrSilent)
 )
 
 // HTTPClient makes HTTP calls with JSON bodies and distinguishes calls that were never
@@ -125,8 +126,8 @@
 	Header http.Header
 	// Wait is how long the other side is asked to wait before it answers (long polling).
 	Wait time.Duration
-	// CallerResolves says that the caller can find out itself whether a call without an
-	// answer was carried out. Such a call fails early on a reused connection.
+	// CallerResolves says that the caller can find out by itself whether a call without an
+	// answer was carried out. On a silent reused connection, such a call fails early.
 	CallerResolves bool
 	// StallTimeout is the longest time for which the answer may make no progress, both
 	// before and after its start: a long answer on a narrow link is not silent as long as
--- a/common/plain_client.go
+++ b/common/plain_client.go
@@ -34,17 +34,17 @@
 
 // acquireConn returns a pooled connection or a new one, and begins the call on it.
 func (c *plainClient) acquireConn(a *attempt) (*pooledConn, error) {
-	k := c.pool.take(a.address, time.Now())
-	reused := k != nil
+	conn := c.pool.take(a.address, time.Now())
+	reused := conn != nil
 	if !reused {
 		n, err := c.conns.Dial(a.ctx, "tcp", a.address)
 		if err != nil {
 			return nil, err
 		}
-		k = &pooledConn{Conn: n, reader: bufio.NewReaderSize(n, readBufferSize), address: a.address}
+		conn = &pooledConn{Conn: n, reader: bufio.NewReaderSize(n, readBufferSize), address: a.address}
 	}
-	a.gotConn(httptrace.GotConnInfo{Conn: k.Conn, Reused: reused})
-	return k, nil
+	a.gotConn(httptrace.GotConnInfo{Conn: conn.Conn, Reused: reused})
+	return conn, nil
 }
 
 // send sends the request and returns the answer once its head has arrived, with its
@@ -62,7 +62,8 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	// The function may run after send has returned, so k is not assigned again.
+	// The function may run after a return has assigned nil to conn, so it uses k, which is
+	// not assigned again.
 	release = context.AfterFunc(a.ctx, func() { _ = k.Close() })
 	res, err := k.roundTrip(a, b.Bytes())
 	if err != nil {
@@ -75,7 +76,7 @@
 
 // call makes the call, and puts its connection into the pool if it can be reused.
 func (c *plainClient) call(a *attempt) (Reply, error) {
-	k, res, release, err := c.send(a)
+	conn, res, release, err := c.send(a)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -84,13 +85,13 @@
 		reusable = false
 	}
 	if !reusable {
-		_ = k.Close()
+		_ = conn.Close()
 	}
 	if err != nil {
 		return Reply{}, errors.Join(err, context.Cause(a.ctx))
 	}
 	if reusable {
-		c.pool.put(k, time.Now(), reuseTimeout(r.Header))
+		c.pool.put(conn, time.Now(), reuseTimeout(r.Header))
 	}
 	return r, nil
 }
@@ -149,15 +150,15 @@
 }
 
 // roundTrip sends the request and reads the head of the answer.
-func (k *pooledConn) roundTrip(a *attempt, request []byte) (*http.Response, error) {
-	if _, err := k.Write(request); err != nil {
+func (conn *pooledConn) roundTrip(a *attempt, request []byte) (*http.Response, error) {
+	if _, err := conn.Write(request); err != nil {
 		return nil, err
 	}
-	if _, err := k.reader.Peek(1); err != nil {
+	if _, err := conn.reader.Peek(1); err != nil {
 		return nil, err
 	}
 	a.stopTimer()
-	return k.readHead()
+	return conn.readHead()
 }
 
 // readReply reads the rest of the answer. It reports whether its connection may be reused.
@@ -173,9 +174,9 @@
 }
 
 // readHead reads the head of the answer, and skips informational (1xx) ones before it.
-func (k *pooledConn) readHead() (*http.Response, error) {
+func (conn *pooledConn) readHead() (*http.Response, error) {
 	for {
-		res, err := http.ReadResponse(k.reader, nil)
+		res, err := http.ReadResponse(conn.reader, nil)
 		if err != nil || res.StatusCode >= http.StatusOK {
 			return res, err
 		}
--- a/common/pool.go
+++ b/common/pool.go
@@ -46,11 +46,11 @@
 // usable, or returns nil.
 func (p *pool) take(address string, now time.Time) *pooledConn {
 	for {
-		k := p.takeNewest(address)
-		if k == nil || (now.Before(k.idleUntil) && k.usable()) {
-			return k
+		conn := p.takeNewest(address)
+		if conn == nil || (now.Before(conn.idleUntil) && conn.usable()) {
+			return conn
 		}
-		_ = k.Close()
+		_ = conn.Close()
 	}
 }
 
@@ -63,40 +63,40 @@
 	if len(l) == 0 {
 		return nil
 	}
-	k := l[len(l)-1]
-	p.remove(k)
-	return k
+	conn := l[len(l)-1]
+	p.remove(conn)
+	return conn
 }
 
 // remove removes the connection from the pool. The caller holds mu.
-func (p *pool) remove(k *pooledConn) {
-	p.idle.Remove(k.element)
-	l := slices.DeleteFunc(p.byAddress[k.address], func(o *pooledConn) bool { return o == k })
-	p.byAddress[k.address] = l
+func (p *pool) remove(conn *pooledConn) {
+	p.idle.Remove(conn.element)
+	l := slices.DeleteFunc(p.byAddress[conn.address], func(o *pooledConn) bool { return o == conn })
+	p.byAddress[conn.address] = l
 	if len(l) == 0 {
-		delete(p.byAddress, k.address)
+		delete(p.byAddress, conn.address)
 	}
 }
 
 // put returns the connection to the pool, where it may be idle for the given time, and
 // closes those that exceed the pool's limits or have timed out.
-func (p *pool) put(k *pooledConn, now time.Time, idle time.Duration) {
-	for _, o := range p.insert(k, now, idle) {
+func (p *pool) put(conn *pooledConn, now time.Time, idle time.Duration) {
+	for _, o := range p.insert(conn, now, idle) {
 		_ = o.Close()
 	}
 }
 
 // insert adds the connection and returns those to close: the ones evicted, or the
-// connection itself if there are enough to its address.
-func (p *pool) insert(k *pooledConn, now time.Time, idle time.Duration) []*pooledConn {
+// connection itself if the pool holds enough to its address.
+func (p *pool) insert(conn *pooledConn, now time.Time, idle time.Duration) []*pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.byAddress[k.address]) >= max(1, p.MaxIdlePerAddress) {
-		return []*pooledConn{k}
+	if len(p.byAddress[conn.address]) >= max(1, p.MaxIdlePerAddress) {
+		return []*pooledConn{conn}
 	}
-	k.idleUntil = now.Add(idle)
-	k.element = p.idle.PushFront(k)
-	p.byAddress[k.address] = append(p.byAddress[k.address], k)
+	conn.idleUntil = now.Add(idle)
+	conn.element = p.idle.PushFront(conn)
+	p.byAddress[conn.address] = append(p.byAddress[conn.address], conn)
 	var evicted []*pooledConn
 	for e := p.idle.Back(); e != nil; e = p.idle.Back() {
 		o, ok := e.Value.(*pooledConn)
@@ -112,11 +112,11 @@
 // usable reports whether the connection is open and has received nothing since its last
 // answer. Nobody reads from an idle connection, so this check is what finds that the
 // other side has closed it.
-func (k *pooledConn) usable() bool {
-	if k.reader.Buffered() > 0 {
+func (conn *pooledConn) usable() bool {
+	if conn.reader.Buffered() > 0 {
 		return false
 	}
-	c, ok := k.Conn.(interface {
+	c, ok := conn.Conn.(interface {
 		NetConn() net.Conn
 	})
 	if !ok {
--- a/common/problem.go
+++ b/common/problem.go
@@ -28,7 +28,7 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// ProblemError is a problem as of RFC 9457, with the verdict on the request.
+// ProblemError holds problem details (RFC 9457), with the verdict on the request.
 type ProblemError struct {
 	Type    string  `json:"type"`
 	Title   string  `json:"title"`
--- a/common/rendezvous.go
+++ b/common/rendezvous.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank returns the names by their rendezvous score for the key, highest first.
+// Rank returns the names sorted by their rendezvous score for the key, highest first.
 // Removing a name does not change the order of the others.
 func Rank(key string, names []string) []string {
 	r := slices.Clone(names)
--- a/common/silence_test.go
+++ b/common/silence_test.go
@@ -65,15 +65,15 @@
 }
 
 func eachDirection(t *testing.T, test func(*testing.T, proxy.Direction)) {
-	for n, w := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
-		t.Run(n, func(t *testing.T) { test(t, w) })
+	for n, d := range map[string]proxy.Direction{"both": proxy.Both, "answers": proxy.AnswersOnly} {
+		t.Run(n, func(t *testing.T) { test(t, d) })
 	}
 }
 
 func TestSilentConnectionsCostOneTimeout(t *testing.T) {
-	eachDirection(t, func(t *testing.T, w proxy.Direction) {
+	eachDirection(t, func(t *testing.T, d proxy.Direction) {
 		f := newSilentFixture(t, 8)
-		require.Equal(t, 8, f.Silence(w))
+		require.Equal(t, 8, f.Silence(d))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := f.client.CallIdempotent(ctx, f.request("/"), f.request("/"))
--- a/common/stream.go
+++ b/common/stream.go
@@ -18,8 +18,8 @@
 }
 
 // Stream sends one request and returns the answer once its head has arrived. Reading
-// fails once a call to the same address finds that the connection may be silent. The
-// stream must be closed.
+// fails if another call finds that the stream's connection may be silent. The stream must
+// be closed.
 func (h HTTPClient) Stream(ctx context.Context, q Request) (*Stream, error) {
 	a := newStream(ctx, h.conns, q)
 	res, err := h.open(a) //nolint:bodyclose // the Stream closes it
--- a/common/suspension.go
+++ b/common/suspension.go
@@ -21,8 +21,8 @@
 	drift, systemTotal func() time.Duration
 	// systemTotalAtStart is what systemTotal returned when the tracker was created.
 	systemTotalAtStart time.Duration
-	// lastDrift is the drift when systemTotal was last called, total the suspension since
-	// the start by that call.
+	// lastDrift is the drift when systemTotal was last called, total the suspension between
+	// the start and that call.
 	lastDrift, total atomic.Int64
 }
 
--- a/common/suspension_test.go
+++ b/common/suspension_test.go
@@ -49,5 +49,5 @@
 	s := NewSuspensionTracker()
 	require.Zero(t, s.Total())
 	s.lastDrift.Store(int64(time.Hour))
-	require.Less(t, s.Total().Abs(), 10*time.Millisecond, "the system says that there was none")
+	require.Less(t, s.Total().Abs(), 10*time.Millisecond, "the kernel reports no suspension")
 }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -83,8 +83,8 @@
 	return c.report
 }
 
-// maxAttempts is how many entry hosts a request is tried at while they refuse the
-// connection, as a load balancer does.
+// maxAttempts bounds the entry hosts that are tried in turn while they refuse the
+// connection. A load balancer retries in the same way.
 const maxAttempts = 3
 
 func (c *Caller) request(ctx context.Context, l Load, i int) {
@@ -124,7 +124,7 @@
 	if id != "" {
 		req.Header.Set(common.HeaderIdempotencyKey, id)
 		req.Header.Set(common.HeaderRepeatable, strconv.FormatBool(false))
-		// net/http resends no request whose body it cannot read again.
+		// Without GetBody, net/http cannot send the request again.
 		req.GetBody = nil
 	}
 	if p.RunTime > 0 {
--- a/internal/standin/cmd/standin/main.go
+++ b/internal/standin/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs a stand-in of the platform, of a target or of a caller.
+// Command standin runs a stand-in for the platform, a target or a caller.
 package main
 
 import (
--- a/internal/standin/faultystore.go
+++ b/internal/standin/faultystore.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// readError returns the error of a read, which also succeeds where a write would lose
-// its answer.
+// readError returns the error of a read with the outcome. AnswerLost and Delayed concern
+// writes only: a read succeeds.
 func readError(f Outcome) error {
 	switch f {
 	case Succeeds, AnswerLost, Delayed:
--- a/internal/standin/fleet/behaviour.go
+++ b/internal/standin/fleet/behaviour.go
@@ -14,7 +14,7 @@
 	maxWarmUp, meanTimeToFailure time.Duration
 }
 
-// Prefixes of the words of a spec that give a time.
+// Prefixes of those words of a spec that give a time.
 const (
 	warmsPrefix     = "warms:"
 	failsEachPrefix = "fails-each:"
@@ -22,8 +22,8 @@
 
 // parseBehaviour parses the spec of a task's job, which consists of words: a duration is
 // the run time, "fails" makes the task fail after it, "lasts" makes it a lasting task, and
-// "crashes" makes it crash its worker soon after its start. A lasting task may take some
-// time to be ready ("warms:1s") and fail now and then ("fails-each:1m").
+// "crashes" makes it crash its worker soon after its start. For a lasting task, "warms:1s"
+// sets maxWarmUp, and "fails-each:1m" sets meanTimeToFailure.
 func parseBehaviour(spec string) behaviour {
 	var b behaviour
 	for _, f := range strings.Fields(spec) {
--- a/internal/standin/fleet/checker.go
+++ b/internal/standin/fleet/checker.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Checker records what workers did, and which guarantees that violated.
+// Checker records what workers did, and the violations of guarantees that it found.
 type Checker struct {
 	mu         sync.Mutex
 	active     map[string]ActiveRun
@@ -77,8 +77,8 @@
 	}
 }
 
-// CheckStepOrder enables the check that a second step starts after the first, of jobs
-// with so many tasks in their first step.
+// CheckStepOrder enables the check that the second step of a job starts after the first
+// is done. The first step of each job has the given number of tasks.
 func (c *Checker) CheckStepOrder(tasks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/fleet/checker_test.go
+++ b/internal/standin/fleet/checker_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The checker must be able to fail: each guarantee is violated once.
+// Violates each guarantee once, so that a checker that finds nothing is noticed.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	c := NewChecker()
 	c.CheckStepOrder(1)
--- a/internal/standin/fleet/delay.go
+++ b/internal/standin/fleet/delay.go
@@ -11,10 +11,10 @@
 // lateHeader marks an order that was delayed.
 const lateHeader = "Late"
 
-// DelayRunOrders makes every second worker, from the first or the second on, leave orders
-// to start and to stop runs without an answer for the time d, and execute each after the
-// delay that delay returns, which must be safe for concurrent use. These workers still
-// answer polls. It returns how many they are.
+// DelayRunOrders delays orders to start and to stop runs for the time d, at every second
+// worker: from the first on if from is even, from the second on if it is odd. Such an order
+// gets no answer, and is executed after the time that delay returns. delay must be safe for
+// concurrent use. The workers still answer polls. It returns how many workers it affects.
 func (f *Fleet) DelayRunOrders(from int, d time.Duration, delay func() time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,8 +37,8 @@
 	w.orderDelay = delay
 }
 
-// intercept answers only calls that are meant for this incarnation, and none while the
-// worker is silent. Orders may be delayed.
+// intercept returns a handler that passes calls to h only if they are meant for this
+// incarnation and the worker is not silent. Orders may be delayed.
 func (w *worker) intercept(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
@@ -59,8 +59,8 @@
 	})
 }
 
-// dropCall ends a call without an answer: if the worker is silent, when the caller gives
-// up or the worker ends, otherwise at once.
+// dropCall ends a call without an answer. If the worker is silent, it first waits until the
+// caller gives up or the worker ends.
 func (w *worker) dropCall(r *http.Request) {
 	w.mu.Lock()
 	silent := w.silent
--- a/internal/standin/fleet/disruption.go
+++ b/internal/standin/fleet/disruption.go
@@ -17,7 +17,7 @@
 	maxUnavailable map[string]int
 	// unavailable holds their tasks that are not ready.
 	unavailable map[string]*unavailableTask
-	// disruptions counts the orders that have stopped a ready one.
+	// disruptions counts the orders that have stopped one of their tasks that was ready.
 	disruptions int
 }
 
@@ -32,8 +32,8 @@
 type stopOrder struct {
 	task, worker string
 	run          int64
-	// exempt says that it may stop the run whatever else is unavailable: the worker is
-	// leaving, or the order was delayed.
+	// exempt says that the disruption budget does not apply: the worker is leaving, or the
+	// order was delayed.
 	exempt bool
 }
 
@@ -75,7 +75,7 @@
 }
 
 // checkDisruption records that an order stops a run. If the task is ready, it checks that
-// fewer others of its step are unavailable than may be.
+// the disruption budget still allows one more task of the step to be unavailable.
 func (c *Checker) checkDisruption(o stopOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 	c.disruptions++
 	if l := c.describeUnavailable(job); len(l) >= limit && !o.exempt {
-		c.violations = append(c.violations, fmt.Sprintf("%s run %d on %s was ready and was stopped by an order while %d others of its step were unavailable, and %d may be: %s",
+		c.violations = append(c.violations, fmt.Sprintf("%s run %d on %s was ready and was stopped by an order while %d others of its step were unavailable, with a budget of %d: %s",
 			o.task, o.run, o.worker, len(l), limit, strings.Join(l, ", ")))
 	}
 	c.unavailable[o.task] = &unavailableTask{since: time.Now(), byOrder: true}
--- a/internal/standin/fleet/listener.go
+++ b/internal/standin/fleet/listener.go
@@ -80,7 +80,7 @@
 	closed                    chan struct{}
 }
 
-// Read reads what the other side sends, and waits for Close once that is lost.
+// Read implements io.Reader. Once requests are lost, it waits for Close.
 func (c *faultyConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if !c.loseRequests.Load() || isTimeout(err) {
@@ -90,7 +90,7 @@
 	return 0, net.ErrClosed
 }
 
-// Write sends the bytes, or discards them once answers are lost.
+// Write implements io.Writer. Once answers are lost, it discards the bytes.
 func (c *faultyConn) Write(b []byte) (int, error) {
 	if c.loseAnswers.Load() {
 		return len(b), nil
--- a/internal/standin/fleet/machineorders.go
+++ b/internal/standin/fleet/machineorders.go
@@ -17,7 +17,8 @@
 type machineOrders struct {
 	// orderDelay returns how long an order is delayed, or zero; nil delays none.
 	orderDelay func() time.Duration
-	// ordersReceived counts all orders, ordersDelayed those that were delayed.
+	// ordersReceived counts all orders, ordersDelayed the delayed ones that have been
+	// executed or rejected.
 	ordersReceived, ordersDelayed int
 }
 
@@ -34,9 +35,9 @@
 	delayed bool
 }
 
-// DelayMachineOrders makes orders to machines for which delay returns a time get no
-// answer, and be executed after that time. Calls to delay do not overlap; nil ends the
-// delays.
+// DelayMachineOrders delays orders to machines. delay is called for each order: if it
+// returns a positive time, the order gets no answer and is executed after that time. Calls
+// to delay do not overlap. A nil delay ends the delays.
 func (f *Fleet) DelayMachineOrders(delay func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet/restart.go
+++ b/internal/standin/fleet/restart.go
@@ -36,7 +36,7 @@
 	time.AfterFunc(r.DownFor, func() { f.restart(m, w, r) })
 }
 
-// restart starts the next incarnation of the worker, unless its machine has had an
+// restart starts the next incarnation of the worker, unless its machine has executed an
 // order since or is being removed.
 func (f *Fleet) restart(m *Machine, old *worker, r Restart) {
 	f.mu.Lock()
--- a/internal/standin/fleet/run.go
+++ b/internal/standin/fleet/run.go
@@ -19,11 +19,11 @@
 	lasting   bool
 	failing   bool
 	pace      int
-	// warmUp is how long a lasting run takes to be ready, failsAt when it fails by itself,
-	// stopsAt when it ends by an order; never, if zero.
+	// warmUp is how long a lasting run takes to be ready. failsAt is when it fails by itself,
+	// stopsAt when it ends by an order; a zero time means never.
 	warmUp           time.Duration
 	failsAt, stopsAt time.Time
-	// ready says that the checker has recorded it as ready.
+	// ready says that the run has been reported to the checker as ready.
 	ready bool
 }
 
@@ -108,8 +108,8 @@
 	}
 }
 
-// checkDisruptions checks the disruptions by an order to the worker's machine, which may
-// have been delayed and ends all runs.
+// checkDisruptions checks the disruptions by an order to the worker's machine, which ends
+// all its runs. delayed says that the order was delayed.
 func (w *worker) checkDisruptions(delayed bool) {
 	if w == nil {
 		return
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -20,7 +20,7 @@
 	Delay time.Duration
 }
 
-// Store is a stand-in of the platform's store.
+// Store is a stand-in for the platform's store.
 type Store struct {
 	mu        sync.Mutex
 	fault     StoreFault
@@ -51,7 +51,7 @@
 	expires time.Time
 }
 
-// maxHistory is how many changes the history may hold, after which half are dropped.
+// maxHistory is how many changes the history may hold. Beyond that, the older half is dropped.
 const maxHistory = 20000
 
 // NewStore returns an empty store.
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// Remove removes a key, as at the end of a worker.
+// Remove removes a key, as happens at the end of a worker.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -34,8 +34,8 @@
 	runs       map[string]*run
 	highestRun map[string]int64
 	endedRuns  [][]any
-	// lastVoidEnd is the last end from before the lease expired: the acknowledgement of
-	// an end up to it does not count.
+	// lastVoidEnd is the number of the last end before a poll found the lease expired. The
+	// acknowledgement of an end up to it does not count.
 	lastVoidEnd int64
 	lastEnd     int64
 	changed     chan struct{}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -23,11 +23,11 @@
 	Watches int64 `json:"watches"`
 }
 
-// Platform is a stand-in of the platform's key-value service and of its host list.
+// Platform is a stand-in for the platform's key-value service and its host list.
 type Platform struct {
 	Store  *Store
 	Faults *Faults
-	// Lag is how far the served host list is behind.
+	// Lag is how old the served host list is.
 	Lag time.Duration
 	// RebootTime is how long a host is down during a reboot.
 	RebootTime time.Duration
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -24,7 +24,7 @@
 	event    platform.WireEvent
 }
 
-// maxHistory bounds how far back a watch may start.
+// maxHistory is how many changes are kept for watches.
 const maxHistory = 10000
 
 // NewStore returns an empty store.
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -18,7 +18,7 @@
 const (
 	// HeaderRunTime is how long the run takes, as a Go duration.
 	HeaderRunTime = "Standin-Run"
-	// HeaderPadding is how many bytes of padding the answer gets.
+	// HeaderPadding is how many padding bytes the answer ends with.
 	HeaderPadding = "Standin-Size"
 )
 
@@ -34,7 +34,7 @@
 	LastStart time.Time `json:"last"`
 }
 
-// Target is a stand-in of a target: a back end that runs requests.
+// Target is a stand-in for a target: a back end that runs requests.
 type Target struct {
 	Name    string
 	Slots   int
@@ -143,8 +143,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// ExpectedAnswer returns the complete answer to a request with the path and the
-// body, with so many padding bytes.
+// ExpectedAnswer returns the complete answer to a request with the path and the body. It
+// ends with the given number of padding bytes.
 func ExpectedAnswer(path string, body []byte, padding int) string {
 	return fmt.Sprintf("%s %016x %s", path, xxhash.Sum64(body), strings.Repeat("x", padding))
 }
