--- a/internal/standin/fleet/machineorders_test.go
+++ b/internal/standin/fleet/machineorders_test.go
@@ -27,6 +27,8 @@
 	return r.StatusCode
 }
 
+// A delayed order with a lower fence than a newer one is rejected. With the same fence it is
+// executed and undoes the newer one, which the checker has to report.
 func TestDelayedMachineOrderIsFencedOrAViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		fence      int
