--- a/commands/graceful_server.go
+++ b/commands/graceful_server.go
@@ -17,7 +17,8 @@
 
 // newGracefulServer listens at the address for the handler. Answers announce to callers
 // that they may use an idle connection for keepAlive. During a stop, an idle connection
-// stays open for the grace period and for keepAlive, whichever is longer.
+// stays open until both the grace period of the stop and keepAlive since its last answer
+// have passed.
 func newGracefulServer(ctx context.Context, at netip.AddrPort, h http.Handler, keepAlive, grace time.Duration) (gracefulServer, error) {
 	l, err := request.ListenForCallers(ctx, at)
 	if err != nil {
