--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -8,28 +8,29 @@
 	"amberway/internal/standin/fleet"
 )
 
-// Figures of the callers.
+// Parameters of the callers.
 const (
 	// callInterval is the time between two jobs.
 	callInterval = 120 * time.Millisecond
-	// maxSubmitTries is how often a caller hands a job in, and retryAfter the pause. One of
-	// giveUp callers tries once only, so that refusals stand.
+	// maxSubmitTries is how often a caller tries to submit a job, with a pause of retryDelay
+	// in between. One caller in singleTryEvery tries only once, so that some refusals are
+	// final.
 	maxSubmitTries = 8
 	singleTryEvery = 3
 	retryDelay     = 400 * time.Millisecond
-	// One of longEvery jobs has tasks that outlast a fault or a look.
+	// One job in longJobEvery has tasks that run for longer than a short fault or a poll.
 	longJobEvery = 5
-	// settleTime is how long jobs may take once all faults are over: a silent
-	// worker's lease and what an owner waits for after a change, twice.
+	// settleTime is how long jobs may take once all faults are over: twice the sum of a
+	// silent worker's lease and of what a new owner waits for.
 	settleTime = 40 * time.Second
-	// firstStepTasks and secondStep are the tasks of each job.
+	// firstStepTasks and secondStepTasks are the numbers of tasks in the two steps of a job.
 	firstStepTasks, secondStepTasks = 3, 2
 )
 
-// queues are the queues, each with a pool of its name.
+// queues are the queues. Each has a pool of the same name.
 var queues = []string{"blue", "green"}
 
-// newJob returns job n. Its estimates are those of a short one.
+// newJob returns job n. Its estimates are those of a short job, also where it is a long one.
 func newJob(n int) fleet.Job {
 	spec := "300ms"
 	if n%longJobEvery == 0 {
@@ -41,11 +42,11 @@
 	}}
 }
 
-// succeeded is what callers get for a job that is done.
+// succeeded is the answer for a job that has succeeded.
 const succeeded = `{"state":"succeeded"}`
 
-// Where the load has turns, the queues take turnCalls jobs by turns; one of offTurn goes to
-// another queue meanwhile.
+// A load that alternates between the queues sends jobsPerTurn jobs to one queue and then as
+// many to the next one. One job in offTurnEvery goes to the other queue.
 const (
 	jobsPerTurn  = 40
 	offTurnEvery = 10
@@ -63,8 +64,8 @@
 	return queues[turn%len(queues)]
 }
 
-// runJob hands job n in, at another entry host after each answer that is no
-// success, and follows it to its end.
+// runJob submits job n, trying another entry host after each failure, and polls its state
+// until it has succeeded.
 func (r *Run) runJob(n int) {
 	id := fmt.Sprintf("%016x", n+1)
 	queue := r.queueOf(n)
@@ -80,25 +81,25 @@
 			r.count("succeeded")
 			return
 		case err == nil && code == http.StatusGone:
-			r.violationf("%s was accepted and is not known", id)
+			r.violationf("%s was accepted, but is unknown", id)
 			return
 		case r.settled():
-			r.violationf("%s was accepted and is not done: %d %s %v", id, code, body, err)
+			r.violationf("%s was accepted, but has not succeeded: %d %s %v", id, code, body, err)
 			return
 		}
 		time.Sleep(retryDelay / 2)
 	}
 }
 
-// submit reports whether the job was accepted. If all answers refused it, it
-// may never run.
+// submit submits a job and reports whether it was accepted. A job that every answer refused
+// must never run; report checks that.
 func (r *Run) submit(n int, queue, id string, j fleet.Job) bool {
 	refused := true
-	most := maxSubmitTries
+	tries := maxSubmitTries
 	if n%singleTryEvery == 0 {
-		most = 1
+		tries = 1
 	}
-	for i := range most {
+	for i := range tries {
 		code, _, err := r.entry(n+i).Call(http.MethodPost, queue, id, j)
 		if err == nil && code == http.StatusOK {
 			return true
@@ -119,13 +120,13 @@
 	return false
 }
 
-// checkDone checks that all tasks of a job that is shown as succeeded are done.
+// checkDone checks that all tasks of a job that is reported as succeeded are done.
 func (r *Run) checkDone(id string) {
 	for step, count := range []int{firstStepTasks, secondStepTasks} {
 		for x := range count {
 			t := fmt.Sprintf("%s.0.%d.%d", id, step, x)
 			if !r.deployment.Fleet.Checker.Done(t) {
-				r.violationf("%s is shown as succeeded and %s is not done", id, t)
+				r.violationf("%s is reported as succeeded, but its task %s is not done", id, t)
 			}
 		}
 	}
--- a/internal/soak/cancels.go
+++ b/internal/soak/cancels.go
@@ -9,31 +9,30 @@
 	"amberway/internal/standin/fleet"
 )
 
-// Figures of the jobs that callers cancel.
+// Parameters of the jobs that callers cancel.
 const (
-	// cancelEvery is how many callers come to one that cancels its job, at most
-	// cancelAfter after it was accepted.
+	// With each cancelEvery-th job a further one is submitted that its caller cancels, at
+	// most maxCancelDelay after it was accepted.
 	cancelEvery    = 2
 	maxCancelDelay = 2500 * time.Millisecond
-	// cancelIDBase begins the ids of such jobs, and cancelTasks is how many tasks
-	// each has.
+	// cancelIDBase is the first id of such jobs, and cancelTasks how many tasks each has.
 	cancelIDBase, cancelTasks = 0x2000000, 3
-	// cancelledRunTimeout is when no task of a cancelled job may run any more: the time
-	// in which a cancelling has to reach the owner, and that of a stop.
+	// cancelledRunTimeout is how long tasks of a cancelled job may still run: the time in
+	// which a cancellation has to reach the owner, plus that of a stop.
 	cancelledRunTimeout = 3*time.Second + 400*time.Millisecond
 	cancelled           = `{"state":"cancelled"}`
 )
 
-// cancellation is a job whose cancelling was acknowledged.
+// cancellation is a job whose cancellation was acknowledged.
 type cancellation struct {
 	id      string
 	ackedAt time.Time
-	// reported are the tasks of which a breach was told.
+	// reported has the tasks for which a violation was reported.
 	reported map[string]bool
 }
 
-// runCancelledJob hands in a job that would last, cancels it, and follows it until it
-// is shown as cancelled.
+// runCancelledJob submits a lasting job, cancels it, and polls its state until it is reported
+// as cancelled.
 func (r *Run) runCancelledJob(n int) {
 	id := fmt.Sprintf("%016x", cancelIDBase+n)
 	queue := queues[n%len(queues)]
@@ -52,17 +51,17 @@
 		case err == nil && code == http.StatusOK && body == cancelled:
 			return
 		case err == nil && code == http.StatusGone, body == succeeded:
-			r.violationf("%s was cancelled and is shown as %d %s", id, code, body)
+			r.violationf("%s was cancelled, but is reported as %d %s", id, code, body)
 			return
 		case r.settled():
-			r.violationf("%s was cancelled and is not shown so: %d %s %v", id, code, body, err)
+			r.violationf("%s was cancelled, but is not reported as cancelled: %d %s %v", id, code, body, err)
 			return
 		}
 		time.Sleep(retryDelay / 2)
 	}
 }
 
-// cancel reports whether the cancelling was acknowledged.
+// cancel cancels a job and reports whether that was acknowledged.
 func (r *Run) cancel(n int, queue, id string) bool {
 	for i := n; !r.settled(); i++ {
 		code, body, err := r.entry(i).Call(http.MethodDelete, queue, id, nil)
@@ -73,7 +72,7 @@
 			r.cancellations = append(r.cancellations, &cancellation{id: id, ackedAt: time.Now(), reported: map[string]bool{}})
 			return true
 		case err == nil && code == http.StatusGone:
-			r.violationf("%s was accepted and is not known to be cancelled: %s", id, body)
+			r.violationf("%s was accepted, but is unknown when it is cancelled: %s", id, body)
 			return false
 		}
 		time.Sleep(retryDelay)
@@ -82,7 +81,7 @@
 	return false
 }
 
-// watchCancelled checks that no task of a cancelled job runs on.
+// watchCancelled checks that no task of a cancelled job keeps running.
 func (r *Run) watchCancelled() {
 	for !r.watchIsOver() {
 		time.Sleep(checkInterval)
@@ -99,9 +98,9 @@
 	}
 }
 
-// checkStopped checks one run: it has to end in time after the cancelling, and one
-// whose order was carried out late, after its start and the time to learn of it;
-// both once the system is in touch.
+// checkStopped checks that a run of a cancelled job ends within cancelledRunTimeout of the
+// cancellation or, if the faults end later, of calmFrom. For a run whose start order was
+// executed late, the time begins only once the owner must have learnt of the run.
 func (r *Run) checkStopped(c *cancellation, g fleet.ActiveRun, now, calmFrom time.Time) {
 	due := c.ackedAt
 	if g.Late && g.StartedAt.Add(reconnectTime).After(due) {
@@ -114,12 +113,12 @@
 		return
 	}
 	c.reported[g.Task] = true
-	r.violationf("%s run %d runs on %s, begun %.1f s ago (late: %t), %.1f s after its job was cancelled", g.Task, g.Number, g.Worker,
+	r.violationf("%s run %d still runs on %s, started %.1f s ago (late: %t), %.1f s after its job was cancelled", g.Task, g.Number, g.Worker,
 		now.Sub(g.StartedAt).Seconds(), g.Late, now.Sub(c.ackedAt).Seconds())
 }
 
-// countLateStarts counts the starts that were carried out late, and those of jobs whose
-// cancelling had been acknowledged before.
+// countLateStarts counts the start orders that were executed late, and those among them whose
+// job's cancellation had been acknowledged before.
 func (r *Run) countLateStarts() {
 	for _, g := range r.deployment.Fleet.Checker.LateStarts() {
 		r.count("late")
--- a/internal/soak/cmd/main.go
+++ b/internal/soak/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd runs the fault soak of one or several seeds and prints a table. It
-// keeps the logs of runs in which a promise broke.
+// Command cmd runs the fault soak for one or several seeds and prints one line for each. It
+// keeps the logs of runs with violations.
 package main
 
 import (
@@ -32,16 +32,17 @@
 func main() {
 	var o options
 	arg.MustParse(&o)
-	broken, err := run(o)
+	violated, err := run(o)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(2)
 	}
-	if broken {
+	if violated {
 		os.Exit(1)
 	}
 }
 
+// run runs all seeds and reports whether there was a violation.
 func run(o options) (bool, error) {
 	if o.Seed == 0 {
 		o.Seed = uint64(time.Now().Unix())
@@ -57,21 +58,21 @@
 	if err != nil {
 		return false, err
 	}
-	broken := false
+	violated := false
 	for s := o.Seed; s < o.Seed+uint64(o.Runs); s++ {
-		b, err := runSeed(o, s, bin, filepath.Join(dir, fmt.Sprint("seed-", s)))
+		v, err := runSeed(o, s, bin, filepath.Join(dir, fmt.Sprint("seed-", s)))
 		if err != nil {
-			return broken, err
+			return violated, err
 		}
-		broken = broken || b
+		violated = violated || v
 	}
-	if o.LogDir == "" && !broken {
+	if o.LogDir == "" && !violated {
 		return false, os.RemoveAll(dir)
 	}
-	return broken, nil
+	return violated, nil
 }
 
-// runSeed runs one seed and reports whether a promise broke.
+// runSeed runs one seed and reports whether there was a violation.
 func runSeed(o options, seed uint64, bin, dir string) (bool, error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return false, err
@@ -87,8 +88,8 @@
 	fmt.Printf("seed %-12d accepted %4d  succeeded %4d  refused %3d  not known %3d  cancelled %2d  crashing %2d  late starts %3d, of cancelled %2d  removed %d  replaced %d  ended at work %3d  late host orders %3d  runs %5d  broken %d\n",
 		seed, r.Counts["accepted"], r.Counts["succeeded"], r.Counts["refused"], r.Counts["not known"],
 		r.Counts["cancelled"], r.Counts["crashing"], r.Counts["late"], r.Counts["late and cancelled"], r.Counts["removed"], r.Counts["replaced"], r.Counts["ended at work"], r.Counts["late host orders"], r.Starts, len(r.Violations))
-	for _, b := range r.Violations {
-		fmt.Println("  broken:", b)
+	for _, v := range r.Violations {
+		fmt.Println("  broken:", v)
 	}
 	if len(r.Violations) == 0 {
 		return false, os.RemoveAll(dir)
--- a/internal/soak/configs.go
+++ b/internal/soak/configs.go
@@ -9,30 +9,31 @@
 	"amberway/internal/local"
 )
 
-// Figures of the configurations.
+// Parameters of the configuration checks.
 const (
-	// configTimeout is when an accepted configuration has to be in force at
-	// each entry host in touch: the daemons wait two seconds in a watch.
+	// configTimeout is how long after its acceptance a configuration may take to be in force
+	// on each connected entry host: the daemons have watches of two seconds.
 	configTimeout = 2 * time.Second
-	// reconnectTime is how long an entry host must have been without faults, and the
-	// store as well, to be in touch.
+	// reconnectTime is how long an entry host and the store must have been without faults
+	// before the entry host counts as connected.
 	reconnectTime = 3 * time.Second
-	// configPollInterval is the pause between two questions to one entry host.
+	// configPollInterval is the pause between two polls of one entry host.
 	configPollInterval = 100 * time.Millisecond
 )
 
-// configuration is a configuration with a queue that no other one has.
+// configuration is a configuration with a queue that no other configuration has.
 type configuration struct {
-	// acceptedAt is zero until the store has it.
+	// acceptedAt is zero until the store has accepted it.
 	acceptedAt time.Time
 }
 
+// extraQueue returns the name of the queue that only this configuration has.
 func extraQueue(version int) string {
 	return fmt.Sprintf("extra-%03d", version)
 }
 
-// configure writes the next configuration. It drops the queue that the last one
-// added, and adds one.
+// configure writes the next configuration, which replaces the extra queue of the last one by
+// another.
 func (r *Run) configure() {
 	r.configMu.Lock()
 	defer r.configMu.Unlock()
@@ -46,11 +47,11 @@
 	r.configs[n].acceptedAt = time.Now()
 }
 
-// configState is what was accepted and begun at a time.
+// configState says which configurations have been written by a point in time.
 type configState struct {
 	at time.Time
-	// due is the newest configuration that has to be in force by now, newest the
-	// last that was accepted; -1 is none. All counts those that were begun.
+	// due is the newest configuration that has to be in force by then, newest the last one
+	// that was accepted, or -1. begun counts those whose write has begun.
 	due, newest, begun int
 }
 
@@ -70,22 +71,23 @@
 	return s
 }
 
-// configChecker asks one entry host which configuration is in force there, by the
-// queues that only one has.
+// configChecker polls one entry host for the configuration that is in force there, which it
+// recognises by its extra queue.
 type configChecker struct {
 	run         *Run
 	index       int
 	incarnation incarnation
-	// highest is the newest that was seen in this life, missed how often in a row
-	// none was found that may be in force; told is the last that was told of.
+	// highest is the newest configuration that was seen in this incarnation. misses is how
+	// many polls in a row found none that may be in force. reported is the last one for
+	// which a violation was reported.
 	highest, misses, reported int
 }
 
-// maxMisses is how often none may be found in a row: one that changes between
-// two questions hides from both.
+// maxMisses is how many polls in a row may find no configuration: one that comes into force
+// between the requests of a poll is missed by all of them.
 const maxMisses = 3
 
-// watch asks until what lasts was watched for long enough.
+// watch polls and checks until the watch is over.
 func (f *configChecker) watch() {
 	for !f.run.watchIsOver() {
 		time.Sleep(configPollInterval)
@@ -95,7 +97,7 @@
 		}
 		s := f.run.configState()
 		if s.newest+1 < s.begun {
-			// One that is being written may be in force already.
+			// The one that is being written may already be in force.
 			continue
 		}
 		in, ok := f.poll(x, s)
@@ -105,8 +107,8 @@
 	}
 }
 
-// poll returns the newest configuration that is in force, down to the one before
-// that which is due; -1 is none of them.
+// poll returns the newest configuration that is in force, or -1 if it is older than the one
+// before the due one. It reports false if the entry host does not answer or has none yet.
 func (f *configChecker) poll(x *local.JobsEntry, s configState) (int, bool) {
 	for i := s.newest; i >= max(0, s.due-1); i-- {
 		code, body, err := x.Call(http.MethodGet, extraQueue(i), "", nil)
@@ -120,8 +122,8 @@
 	return -1, true
 }
 
-// check checks what was found: nothing older than what was seen, and nothing older
-// than what is due at an entry host in touch.
+// check checks the result of a poll: a configuration older than one that was seen before is a
+// violation, and so is one older than the due one if the entry host is connected.
 func (f *configChecker) check(x *local.JobsEntry, s configState, in int) {
 	if in >= 0 && in < f.highest || in < f.highest && f.highest == s.newest && f.run.configState().begun == s.begun {
 		f.run.violationf("%s went back from configuration %d to %d", x.Name, f.highest, in)
@@ -133,12 +135,12 @@
 		f.misses = 0
 		return
 	}
-	touches := func(scope string) bool { return scope == x.Name || scope == scopeStore || scope == scopeAll }
-	if f.misses < maxMisses && in < 0 || f.reported == s.due || s.at.Sub(f.run.lastFaultAt(touches)) < reconnectTime {
+	affects := func(scope string) bool { return scope == x.Name || scope == scopeStore || scope == scopeAll }
+	if f.misses < maxMisses && in < 0 || f.reported == s.due || s.at.Sub(f.run.lastFaultAt(affects)) < reconnectTime {
 		return
 	}
 	f.reported = s.due
-	f.run.violationf("%s has configuration %d in force, and %d was accepted %.1f s ago", x.Name, in, s.due,
+	f.run.violationf("%s has configuration %d in force, but %d was accepted %.1f s ago", x.Name, in, s.due,
 		s.at.Sub(f.run.configAt(s.due).acceptedAt).Seconds())
 }
 
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -8,19 +8,20 @@
 	"amberway/internal/standin/fleet"
 )
 
-// Figures of the jobs whose task crashes each worker that starts it.
+// Parameters of the jobs whose task crashes each worker that starts it.
 const (
-	// crashIDBase begins their ids; one is handed in each crashEvery, so that the pools are
-	// whole again for what lasts.
+	// crashIDBase is the first id of such jobs. There is a pause of crashInterval before the
+	// next one, so that the pools recover in between and have room for the lasting tasks.
 	crashIDBase   = 0x3000000
 	crashInterval = 5 * time.Second
-	// maxCrashes is how many workers one may bring down under one owner. Each next
-	// owner may not hear of one.
+	// maxCrashes is how many workers such a task may crash under one owner. Each later owner
+	// may miss one crash, which allows one more.
 	maxCrashes = 5
 	failed     = `{"state":"failed"}`
 )
 
-// runCrashingJobs hands in jobs that crash their workers, until the faults are over.
+// runCrashingJobs runs jobs that crash their workers, one after the other, until the faults
+// are over.
 func (r *Run) runCrashingJobs() {
 	for n := 0; time.Until(r.settledAt) > settleTime; n++ {
 		r.runCrashingJob(n)
@@ -28,8 +29,8 @@
 	}
 }
 
-// runCrashingJob hands in a job whose task crashes its workers, and follows it until it is
-// shown as failed.
+// runCrashingJob submits a job whose task crashes its workers, and polls its state until it is
+// reported as failed.
 func (r *Run) runCrashingJob(n int) {
 	id := fmt.Sprintf("%016x", crashIDBase+n)
 	queue := queues[n%len(queues)]
@@ -47,25 +48,25 @@
 			r.checkCrashes(id, r.takeovers()-before)
 			return
 		case err == nil && code == http.StatusGone, body == succeeded:
-			r.violationf("%s crashes its workers and is shown as %d %s", id, code, body)
+			r.violationf("%s crashes its workers, but is reported as %d %s", id, code, body)
 			return
 		case r.settled():
-			r.violationf("%s crashes its workers and is not shown as failed: %d %s %v", id, code, body, err)
+			r.violationf("%s crashes its workers, but is not reported as failed: %d %s %v", id, code, body, err)
 			return
 		}
 		time.Sleep(retryDelay / 2)
 	}
 }
 
-// checkCrashes checks how many workers the job's task has brought down while ownership
-// changed so many times.
+// checkCrashes checks how many workers the job's task has crashed, given the number of changes
+// of ownership since its submission.
 func (r *Run) checkCrashes(id string, changes int) {
 	if n := r.deployment.Fleet.Checker.CrashCount(id + ".0.0.0"); n > maxCrashes+changes {
-		r.violationf("%s has crashed %d workers under %d owners", id, n, changes+1)
+		r.violationf("%s crashed %d workers under %d owners", id, n, changes+1)
 	}
 }
 
-// takeovers returns how often an entry host has taken ownership over.
+// takeovers returns how often an entry host has taken over the ownership.
 func (r *Run) takeovers() int {
 	return len(r.deployment.Logs(`"msg":"takes over"`))
 }
--- a/internal/soak/stops.go
+++ b/internal/soak/entrystops.go
@@ -9,18 +9,18 @@
 	"amberway/internal/local"
 )
 
-// Figures of a planned stop's callers.
+// Parameters of the callers during a planned stop.
 const (
-	// idleCallers is how many callers keep connections open to a host that stops.
+	// idleCallers is how many callers keep a connection open to the entry host that stops.
 	idleCallers = 6
-	// minPause and mostPause bound the time between two requests of one of them, which
-	// is below what hosts tell callers that a connection stays open for.
+	// minPause and maxPause bound the time between two requests of such a caller. They are
+	// below the keep-alive timeout that entry hosts announce.
 	minPause, maxPause = 50 * time.Millisecond, 1800 * time.Millisecond
 )
 
-// stopEntry tells an entry host to stop and waits for its end. Callers that keep connections to
-// it open use them until their answers tell them that the host closes them, and none of
-// their requests may be lost.
+// stopEntry stops an entry host and waits for its end. Callers with open connections use them
+// until an answer announces that the host closes the connection, and none of their requests
+// may be lost.
 func (r *Run) stopEntry(x *local.JobsEntry) {
 	var callers sync.WaitGroup
 	for range idleCallers {
@@ -36,17 +36,18 @@
 	time.Sleep(minPause)
 	_ = x.Signal(syscall.SIGTERM)
 	if _, err := x.Wait(entryStopTimeout); err != nil {
-		r.violationf("%s was told to stop: %v", x.Name, err)
+		r.violationf("%s did not stop: %v", x.Name, err)
 	}
 	callers.Wait()
 }
 
-// useConn asks on the connection, with pauses, until an answer is the last.
+// useConn sends requests on the connection, with pauses, until an answer announces that it is
+// closed.
 func (r *Run) useConn(x *local.JobsEntry, k *local.KeepAliveConn) {
 	for {
 		a, err := k.RoundTrip(x.QueueLengthRequest(queues[0]))
 		if err != nil {
-			r.violationf("%s lost a request on a kept connection as it stopped: %v", x.Name, err)
+			r.violationf("%s lost a request on a keep-alive connection while it stopped: %v", x.Name, err)
 			return
 		}
 		r.count("kept")
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,10 +12,10 @@
 	"amberway/internal/standin/fleet"
 )
 
-// entryStopTimeout is how long a stopped entry host may take to end.
+// entryStopTimeout is how long an entry host may take to stop.
 const entryStopTimeout = 8 * time.Second
 
-// inject carries out one event, and returns when it is over.
+// inject injects one event and returns when it is over.
 func (r *Run) inject(e Event) {
 	x := r.entry(e.Entry)
 	if o := r.deployment.Owner(); e.Owner && o != nil {
@@ -79,9 +79,9 @@
 	}
 }
 
-// scope returns what the event disturbs; nothing if it is no fault, but a change
-// that the system is to bear without notice. Connections that fall silent count
-// as a reset of those of the entry hosts.
+// scope returns the scope of the event's fault, or "" if the event is an ordinary change that
+// must have no effect on the guarantees. Silenced connections count as a fault of the entry
+// host, like a reset of its links.
 func (e Event) scope(entry string) string {
 	switch e.Kind {
 	case Configure, Wave, Hup:
@@ -105,7 +105,7 @@
 	return entry
 }
 
-// silenceConns has open connections fall silent, of one entry host or of all.
+// silenceConns silences the open connections of one entry host or of all.
 func (r *Run) silenceConns(entry string, e Event) {
 	if e.Upstream == upstreamWorkers {
 		r.deployment.Fleet.SilenceConnections(e.OneWay)
@@ -116,8 +116,8 @@
 	}
 }
 
-// delayRunOrders has workers carry orders out late: most within the lease that they
-// name, some after it.
+// delayRunOrders has workers execute run orders late: most of them within the lease that the
+// order names, some after it.
 func (r *Run) delayRunOrders(e Event) {
 	d := rand.New(rand.NewPCG(r.Seed, uint64(e.At)))
 	r.deployment.Fleet.DelayRunOrders(e.Entry, e.Duration, func() time.Duration {
@@ -128,8 +128,8 @@
 	time.Sleep(e.Duration)
 }
 
-// replaceEntry takes an entry host away for good and starts another in its place. One
-// that hangs keeps its connections open, as a machine without power does.
+// replaceEntry removes an entry host for good and starts another one in its place. One that
+// hangs keeps its connections open, like a machine without power.
 func (r *Run) replaceEntry(x *local.JobsEntry, hangs bool) {
 	if !r.reserve(x.Name) {
 		return
@@ -144,10 +144,12 @@
 	r.beginFault(y.Name)()
 }
 
-// machineReplacementDelay is how long after a machine was removed another comes in its place.
+// machineReplacementDelay is the time between the removal of a machine and the start of its
+// replacement.
 const machineReplacementDelay = 2 * time.Second
 
-// removeMachine takes the machine with the most lasting tasks away for good.
+// removeMachine removes the machine with the most lasting tasks for good and replaces it
+// later.
 func (r *Run) removeMachine(how fleet.Removal) {
 	id, pool := r.deployment.Fleet.MostLasting()
 	if r.deployment.Fleet.Remove(id, how) != nil {
@@ -157,8 +159,8 @@
 	time.AfterFunc(machineReplacementDelay, func() { r.recordError(r.deployment.AddMachine(pool)) })
 }
 
-// restartEntry ends an entry host by the signal and starts it again. One that is being
-// restarted is left alone.
+// restartEntry ends an entry host by the signal and starts it again. It does nothing if the
+// process is reserved for another fault.
 func (r *Run) restartEntry(x *local.JobsEntry, s syscall.Signal, after time.Duration) {
 	if !r.reserve(x.Name) {
 		return
@@ -174,7 +176,7 @@
 	r.recordError(r.deployment.Launch(x))
 }
 
-// sendHangUp tells an entry host that its settings have changed.
+// sendHangUp has an entry host reload its settings.
 func (r *Run) sendHangUp(x *local.JobsEntry) {
 	if r.reserve(x.Name) {
 		_ = x.Signal(syscall.SIGHUP)
@@ -192,21 +194,22 @@
 	_ = x.Signal(syscall.SIGCONT)
 }
 
-func (r *Run) impairLinks(name string, t LinkState, d time.Duration) {
-	set := func(t LinkState) {
+// impairLinks puts the links of an entry host into a state for a time.
+func (r *Run) impairLinks(name string, s LinkState, d time.Duration) {
+	set := func(s LinkState) {
 		for _, l := range r.linksOf(name, false) {
 			for _, k := range l {
-				k.SetState(t)
+				k.SetState(s)
 			}
 		}
 	}
-	set(t)
+	set(s)
 	time.Sleep(d)
 	set(Healthy)
 }
 
-// limitBandwidth has an entry host's links, or those of all, carry little: together what one
-// link of a host does.
+// limitBandwidth limits the bandwidth of one entry host or of all for a time. The links of an
+// entry host share one limit, as its connections share its network link.
 func (r *Run) limitBandwidth(name string, e Event) {
 	bytes := e.Mbps * 1e6 / 8
 	for _, l := range r.linksOf(name, e.All) {
@@ -223,6 +226,7 @@
 	}
 }
 
+// impairStore sets a fault of the store for a time.
 func (r *Run) impairStore(f fleet.StoreFault, d time.Duration) {
 	r.deployment.Fleet.Store.SetFault(f)
 	time.Sleep(d)
@@ -232,6 +236,7 @@
 // waveMaxDown is how many machines of a wave may be down at once.
 const waveMaxDown = 2
 
+// requestWave requests a maintenance wave over half of the machines.
 func (r *Run) requestWave() {
 	r.mu.Lock()
 	r.waveCount++
--- a/internal/soak/calm.go
+++ b/internal/soak/faultstate.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Scopes of faults besides the names of entry hosts.
+// Scopes of faults. A fault of a single entry host has the host's name as its scope.
 const (
 	scopeStore   = "store"
 	scopeHistory = "history"
 	scopeWorkers = "workers"
 	scopeRemoval = "removal"
-	// scopeAll holds for all entry hosts.
+	// scopeAll is the scope of faults of all entry hosts.
 	scopeAll = "all"
 )
 
-// faultState are those of one scope: how many go on, and when the last one ended.
+// faultState is the state of one scope: how many faults are active, and when the last one
+// ended.
 type faultState struct {
 	active  int
 	endedAt time.Time
 }
 
-// beginFault notes that a fault begins, and the function that it returns that it ends.
+// beginFault records the start of a fault. The function that it returns records its end.
 func (r *Run) beginFault(scope string) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,8 +37,8 @@
 	}
 }
 
-// lastFaultAt returns when there was last a fault of a scope that counts: now if
-// there is one.
+// lastFaultAt returns when the last fault of the scopes that count ended, or the present time
+// if one is active.
 func (r *Run) lastFaultAt(counts func(scope string) bool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,14 +57,15 @@
 
 func anyScope(string) bool { return true }
 
-// newIncarnation notes that another process is an entry host, or is about to be.
+// newIncarnation records that the process of an entry host is replaced by another one, or is
+// about to be.
 func (r *Run) newIncarnation(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.incarnations[name]++
 }
 
-// incarnation is one life of an entry host.
+// incarnation identifies one process of an entry host.
 type incarnation struct {
 	name   string
 	number int
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -7,31 +7,31 @@
 	"amberway/internal/local"
 )
 
-// Figures of the keys.
+// Parameters of the key checks.
 const (
-	// keysWithin is how long a key that was taken away may go on working, at any entry
-	// host, whatever has cut it off: the daemons are told so.
+	// keysWithin is how long a revoked key may still be accepted, on any entry host and
+	// however it is partitioned. The daemons get it as a setting.
 	keysWithin = 5 * time.Second
-	// keyCallInterval is the pause between two calls with keys that are not in force.
+	// keyCallInterval is the pause between two calls with invalid keys.
 	keyCallInterval = 200 * time.Millisecond
 )
 
-// checkInvalidKeys calls an entry host with a key that no team has ever had, and with one that was
-// taken away, until what lasts was watched for long enough. Neither may be let in.
+// checkInvalidKeys calls an entry host with a key that no team has ever had and with a revoked
+// one, until the watch is over. Neither may be accepted.
 func (r *Run) checkInvalidKeys(index int) {
 	for !r.watchIsOver() {
 		time.Sleep(keyCallInterval)
 		x := r.entry(index)
 		if r.acceptsKey(x, "of-nobody") {
-			r.violationf("%s let in a caller with a key that no team has had", x.Name)
+			r.violationf("%s accepted a key that no team has ever had", x.Name)
 		}
 		if n := r.lastRevoked(); n >= 0 && r.acceptsKey(x, local.KeyForQueues(extraQueue(n))) {
-			r.violationf("%s let in a caller with the key of configuration %d, which was taken away more than %s ago", x.Name, n, keysWithin)
+			r.violationf("%s accepted the key of configuration %d, which was revoked more than %s ago", x.Name, n, keysWithin)
 		}
 	}
 }
 
-// acceptsKey reports whether a call with the key is answered with success.
+// acceptsKey reports whether a call with the key succeeds.
 func (r *Run) acceptsKey(x *local.JobsEntry, key string) bool {
 	code, _, err := x.CallWithKey(key, http.MethodGet, queues[0], "", nil)
 	if err == nil && code == http.StatusOK {
@@ -43,8 +43,8 @@
 	return false
 }
 
-// lastRevoked returns the newest configuration whose key has been gone for longer than it
-// may work, or -1.
+// lastRevoked returns the newest configuration whose key was revoked more than keysWithin ago,
+// or -1.
 func (r *Run) lastRevoked() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/lasting.go
+++ b/internal/soak/lasting.go
@@ -8,38 +8,36 @@
 	"amberway/internal/standin/fleet"
 )
 
-// Figures of the jobs whose tasks run until they are cancelled.
+// Parameters of the lasting jobs, whose tasks run until they are cancelled.
 const (
-	// lastingJobsPerPool is how many each pool has, and lastingTasks how many tasks each
-	// of them.
 	lastingJobsPerPool, tasksPerLastingJob = 3, 2
-	// lastingCPU is what a task takes, in thousandths of a core. A worker with
-	// at most roomRuns runs has room for it twice over, whichever they are.
+	// lastingCPU is the CPU of a task in millicores. A worker with at most maxRunsWithRoom
+	// runs, whichever they are, has room for two such tasks.
 	lastingCPU, maxRunsWithRoom = 500, 3
-	// restartTimeout is how long a task may be away after its last run: an owner's
-	// lease, its successor's first second, and the lease of a worker that is no
-	// more. overdueFor is how long it has to be overdue to count.
+	// restartTimeout is how long a task may take to run again after its last run: an owner's
+	// lease, the first second of its successor, and the lease of a removed worker.
+	// overdueMargin is how much longer it has to take to count as a violation.
 	restartTimeout = 6 * time.Second
 	overdueMargin  = 3 * time.Second
-	// minCalm is how long before there must have been no fault: the time that it
-	// is overdue, and the lease of a worker before that.
+	// minCalm is how long there must have been no fault before a violation counts: the time
+	// for which the task is overdue, and the lease of a worker before that.
 	minCalm = overdueMargin + 4*time.Second
-	// watchTime is how long lasting tasks are watched after the last fault was
-	// drawn: a fault lasts five seconds, and a breach shows after that.
+	// watchTime is how long lasting tasks are watched after the last fault was drawn: a fault
+	// takes up to five seconds, and a violation shows only after that.
 	watchTime = 5*time.Second + restartTimeout + overdueMargin
-	// checkInterval is the pause between two looks at them.
+	// checkInterval is the pause between two checks of the tasks.
 	checkInterval = 20 * time.Millisecond
 )
 
-// lastingTask is a task that is to run until its job is cancelled.
+// lastingTask is a task that has to run until its job is cancelled.
 type lastingTask struct {
 	task, queue string
-	// unavailableSince is when it was first seen not to run; zero while it runs.
+	// unavailableSince is when the task was first seen not to run, or zero while it runs.
 	unavailableSince time.Time
 	reported         bool
 }
 
-// submitLastingJobs hands the lasting jobs in, and returns their tasks.
+// submitLastingJobs submits the lasting jobs and returns their tasks.
 func (r *Run) submitLastingJobs() []*lastingTask {
 	var l []*lastingTask
 	for i := range 2 * lastingJobsPerPool {
@@ -50,12 +48,12 @@
 	return l
 }
 
-// submitLastingJob hands in a job of one lasting step before any fault, and returns its tasks.
+// submitLastingJob submits a job with one lasting step before any fault and returns its tasks.
 func (r *Run) submitLastingJob(i, id int, spec string, s fleet.Step) []*lastingTask {
 	queue, name := queues[i%len(queues)], fmt.Sprintf("%016x", id)
 	code, body, err := r.entry(0).Call(http.MethodPost, queue, name, fleet.Job{Spec: spec, Steps: []fleet.Step{s}})
 	if err != nil || code != http.StatusOK {
-		r.violationf("%s was not accepted before any fault: %d %s %v", name, code, body, err)
+		r.violationf("%s was not accepted although there was no fault yet: %d %s %v", name, code, body, err)
 		return nil
 	}
 	var l []*lastingTask
@@ -65,36 +63,36 @@
 	return l
 }
 
-// lastingIDBase begins the ids of lasting jobs.
+// lastingIDBase is the first id of the lasting jobs.
 const lastingIDBase = 0x1000000
 
-// Figures of the lasting jobs of which only some tasks may be away.
+// Parameters of the lasting jobs with a disruption budget.
 const (
-	// budgetedJobs is how many there are, guardedTasks how many tasks each has, of which one
-	// or two may be away, and guardedCPU what a task takes.
+	// Of the tasks of each job, one or two may be unavailable. budgetedCPU is the CPU of a
+	// task in millicores, budgetedIDBase the first id of the jobs.
 	budgetedJobs, tasksPerBudgetedJob = 6, 5
 	budgetedCPU                       = 300
 	budgetedIDBase                    = 0x4000000
-	// budgetedSpec has tasks need time to be at work, and fail by themselves.
+	// budgetedSpec gives tasks a warm-up time before they are ready, and has them fail by
+	// themselves.
 	budgetedSpec = "lasts warms:1500ms fails-each:1m"
 )
 
-// submitBudgetedJobs hands in the lasting jobs of which only some tasks may be away, and returns
-// their tasks.
+// submitBudgetedJobs submits the lasting jobs with a disruption budget and returns their tasks.
 func (r *Run) submitBudgetedJobs() []*lastingTask {
 	var l []*lastingTask
 	for i := range budgetedJobs {
-		id, mayMiss := budgetedIDBase+i, 1+i/len(queues)%2
-		r.deployment.Fleet.Checker.CheckDisruptions(fmt.Sprintf("%016x", id), tasksPerBudgetedJob, mayMiss)
+		id, maxUnavailable := budgetedIDBase+i, 1+i/len(queues)%2
+		r.deployment.Fleet.Checker.CheckDisruptions(fmt.Sprintf("%016x", id), tasksPerBudgetedJob, maxUnavailable)
 		l = append(l, r.submitLastingJob(i, id, budgetedSpec, fleet.Step{
-			Count: tasksPerBudgetedJob, CPU: budgetedCPU, MemMB: 100, Daemon: true, MaxUnavailable: mayMiss,
+			Count: tasksPerBudgetedJob, CPU: budgetedCPU, MemMB: 100, Daemon: true, MaxUnavailable: maxUnavailable,
 		})...)
 	}
 	return l
 }
 
-// watchLasting checks that each task is at work again in time: in calm, with
-// room, it is away for restartIn at most, and overdueFor more to count.
+// watchLasting checks that each lasting task runs again in time: without faults and with room
+// for it, it may be unavailable for restartTimeout, and overdueMargin more before that counts.
 func (r *Run) watchLasting(l []*lastingTask) {
 	roomSince := map[string]time.Time{}
 	for !r.watchIsOver() {
@@ -112,6 +110,8 @@
 	}
 }
 
+// checkLastingTask checks one task, given for how long there has been no fault and for how long
+// its pool has had room.
 func (r *Run) checkLastingTask(t *lastingTask, now time.Time, calm, room time.Duration) {
 	switch {
 	case r.deployment.Fleet.Checker.IsRunning(t.task):
@@ -120,10 +120,10 @@
 	case t.unavailableSince.IsZero():
 		t.unavailableSince = now
 	}
-	away := now.Sub(t.unavailableSince)
-	if t.reported || away < restartTimeout+overdueMargin || calm < minCalm || room < overdueMargin {
+	unavailable := now.Sub(t.unavailableSince)
+	if t.reported || unavailable < restartTimeout+overdueMargin || calm < minCalm || room < overdueMargin {
 		return
 	}
 	t.reported = true
-	r.violationf("%s is to last and has been away for %.1f s, the last %.1f s of them calm", t.task, away.Seconds(), min(calm, away).Seconds())
+	r.violationf("lasting task %s has been unavailable for %.1f s, the last %.1f s of them without faults", t.task, unavailable.Seconds(), min(calm, unavailable).Seconds())
 }
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -11,56 +11,56 @@
 	"golang.org/x/time/rate"
 )
 
-// LinkState is what is wrong with a Link.
+// LinkState is the state of a Link.
 type LinkState int
 
-// The troubles of a link.
+// The states of a link.
 const (
-	// Healthy passes all bytes on.
+	// Healthy forwards all bytes.
 	Healthy LinkState = iota
-	// Slow holds each read back by slowBy.
+	// Slow delays each read by slowDelay.
 	Slow
-	// Blocked passes nothing on, either way.
+	// Blocked holds all bytes back until the state changes.
 	Blocked
-	// AnswersBlocked passes requests on and no answers.
+	// AnswersBlocked forwards requests and holds answers back.
 	AnswersBlocked
-	// Reset breaks all connections, and each new one.
+	// Reset resets all connections, new ones as well.
 	Reset
 	linkStates
 )
 
-// slowDelay is how long a slow link holds bytes back: as long as an answer of a slow
-// store takes.
+// slowDelay is the delay of a slow link, and of the answers of a slow store.
 const slowDelay = 120 * time.Millisecond
 
-// Upstream is where connections lead to.
+// Upstream is what an entry host's connections lead to.
 type Upstream string
 
-// The ways out of an entry host. Connections to workers have no links: they fall
-// silent at the workers.
+// The upstreams of an entry host. Connections to workers have no links: they are silenced at
+// the workers.
 const (
 	upstreamStore    Upstream = "store"
 	upstreamMachines Upstream = "machines"
 	upstreamWorkers  Upstream = "workers"
 )
 
-// links are an entry host's.
+// links are the links of one entry host.
 type links map[Upstream]*Link
 
-// Link passes connections on to an address, over loopback.
+// Link is a TCP proxy on loopback to one upstream address.
 type Link struct {
 	listener  net.Listener
 	upstream  string
 	mu        sync.Mutex
 	linkState LinkState
-	// limiter bounds what the link carries, both ways together, while it is narrow.
+	// limiter limits the bytes per second in both directions together, unless it is nil.
 	limiter      *rate.Limiter
 	stateChanged chan struct{}
 	conns        map[*proxiedConn]bool
 }
 
-// proxiedConn is a connection and the one that passes it on. What it loses is lost for
-// good, and neither side learns of the other's end.
+// proxiedConn is a client's connection and the one to the upstream server. A direction can
+// lose all bytes from a moment on, for good; the other side then does not learn of a close
+// either.
 type proxiedConn struct {
 	client, server            net.Conn
 	loseRequests, loseAnswers atomic.Bool
@@ -71,7 +71,7 @@
 	resetConn(j.server)
 }
 
-// loses reports whether what goes one way is lost.
+// loses reports whether the bytes of a direction are lost.
 func (j *proxiedConn) loses(answers bool) bool {
 	if answers {
 		return j.loseAnswers.Load()
@@ -79,43 +79,43 @@
 	return j.loseRequests.Load()
 }
 
-// NewLink returns a sound link to the address.
-func NewLink(to string) (*Link, error) {
+// NewLink returns a healthy link to the address.
+func NewLink(upstream string) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, upstream: to, stateChanged: make(chan struct{}), conns: map[*proxiedConn]bool{}}
+	k := &Link{listener: l, upstream: upstream, stateChanged: make(chan struct{}), conns: map[*proxiedConn]bool{}}
 	go k.accept()
 	return k, nil
 }
 
-// Address is where the link listens.
+// Address returns the address that the link listens on.
 func (k *Link) Address() string {
 	return k.listener.Addr().String()
 }
 
-// SetState switches what is wrong with the link.
-func (k *Link) SetState(t LinkState) {
+// SetState changes the state of the link.
+func (k *Link) SetState(s LinkState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.linkState = t
+	k.linkState = s
 	close(k.stateChanged)
 	k.stateChanged = make(chan struct{})
-	if t == Reset {
+	if s == Reset {
 		k.resetAll()
 	}
 }
 
-// SetLimiter has the link carry no more than the limiter allows, which other links may
-// share; nil is no bound.
+// SetLimiter limits the bandwidth of the link; nil removes the limit. Several links may share
+// one limiter.
 func (k *Link) SetLimiter(l *rate.Limiter) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.limiter = l
 }
 
-// throttle waits until so many bytes may pass.
+// throttle waits until the limiter admits n bytes.
 func (k *Link) throttle(n int) {
 	k.mu.Lock()
 	l := k.limiter
@@ -130,7 +130,7 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the listener and resets all connections.
 func (k *Link) Close() {
 	_ = k.listener.Close()
 	k.mu.Lock()
@@ -145,8 +145,8 @@
 	clear(k.conns)
 }
 
-// Silence has all open connections lose what they carry from now on, for good:
-// answers, and requests as well unless oneWay. New connections are sound.
+// Silence has all open connections lose their bytes from now on, for good: answers, and
+// requests as well unless oneWay. New connections work.
 func (k *Link) Silence(oneWay bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// resetConn closes a connection so that the other side gets a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -164,6 +164,7 @@
 	_ = c.Close()
 }
 
+// state returns the state and a channel that is closed when it changes.
 func (k *Link) state() (LinkState, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -176,7 +177,7 @@
 		if err != nil {
 			return
 		}
-		if t, _ := k.state(); t == Reset {
+		if s, _ := k.state(); s == Reset {
 			resetConn(c)
 			continue
 		}
@@ -203,7 +204,7 @@
 	k.mu.Unlock()
 }
 
-// forward copies bytes one way until either side closes.
+// forward copies the bytes of one direction until either side closes.
 func (k *Link) forward(j *proxiedConn, from, to net.Conn, answers bool) {
 	defer k.closeConns(j, from, answers)
 	b := make([]byte, 32<<10)
@@ -222,15 +223,15 @@
 			if !errors.Is(err, io.EOF) {
 				return
 			}
-			// Let the other direction finish what is under way.
+			// Let the other direction finish what is in transit.
 			time.Sleep(slowDelay)
 			return
 		}
 	}
 }
 
-// closeConns closes both sides, or only the one that has ended if the other is not to
-// learn of it.
+// closeConns closes both sides after one has ended, or only that one if the direction is lost,
+// so that the other does not learn of it.
 func (*Link) closeConns(j *proxiedConn, from net.Conn, answers bool) {
 	if j.loses(answers) {
 		resetConn(from)
@@ -239,14 +240,14 @@
 	j.close()
 }
 
-// delay waits while the link lets nothing through.
+// delay waits until the state of the link lets the bytes of a direction pass.
 func (k *Link) delay(answers bool) {
 	for {
-		t, changed := k.state()
+		s, changed := k.state()
 		switch {
-		case t == Blocked, t == AnswersBlocked && answers:
+		case s == Blocked, s == AnswersBlocked && answers:
 			<-changed
-		case t == Slow:
+		case s == Slow:
 			time.Sleep(slowDelay)
 			return
 		default:
--- a/internal/soak/latehosts.go
+++ b/internal/soak/machineorders.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Figures of orders to machines that are not answered and carried out late.
+// Parameters of the machine orders that get no answer and are executed late.
 const (
 	delayedOrderShare            = 0.3
 	minOrderDelay, maxOrderDelay = 2 * time.Second, 12 * time.Second
 )
 
-// delayMachineOrders has some orders to machines carried out late until the faults are over.
+// delayMachineOrders has some machine orders executed late until the faults are over.
 func (r *Run) delayMachineOrders() {
 	d := rand.New(rand.NewPCG(r.Seed, 5))
 	r.deployment.Fleet.DelayMachineOrders(func() time.Duration {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -14,30 +14,30 @@
 
 // The kinds of faults and changes.
 const (
-	Kill             Kind = "kill"      // SIGKILL, and a start after For
-	Stop             Kind = "stop"      // SIGTERM, and a start after For
-	Freeze           Kind = "freeze"    // SIGSTOP for For
+	Kill             Kind = "kill"      // SIGKILL, restart after Duration
+	Stop             Kind = "stop"      // SIGTERM, restart after Duration
+	Freeze           Kind = "freeze"    // SIGSTOP for Duration
 	Hup              Kind = "hup"       // SIGHUP
-	LinkFault        Kind = "link"      // trouble on an entry host's way to the platform
+	LinkFault        Kind = "link"      // fault on an entry host's links to the platform
 	StoreRefusal     Kind = "refuse"    // the store refuses all calls
-	StoreAnswerLoss  Kind = "lose"      // the store does and answers nothing
+	StoreAnswerLoss  Kind = "lose"      // the store executes calls but sends no answers
 	StoreDelay       Kind = "delay"     // the store is slow
-	StoreWatchHang   Kind = "mute"      // the store's watches hear nothing
-	StoreCompaction  Kind = "forget"    // the store forgets its history
-	WorkerCrash      Kind = "crash"     // a worker ends
-	WorkerSilence    Kind = "silence"   // a worker answers nothing and runs on
+	StoreWatchHang   Kind = "mute"      // the store's watches deliver nothing
+	StoreCompaction  Kind = "forget"    // the store compacts its history
+	WorkerCrash      Kind = "crash"     // a worker crashes
+	WorkerSilence    Kind = "silence"   // a worker stops answering but keeps running its tasks
 	Configure        Kind = "configure" // a new configuration
-	Wave             Kind = "wave"      // upkeep of half of the machines
+	Wave             Kind = "wave"      // maintenance of half of the machines
 	KillAll          Kind = "kill all"  // SIGKILL of all entry hosts at once
-	MachineRemoval   Kind = "remove"    // a machine drains for For and is taken away for good
-	RunOrderDelay    Kind = "postpone"  // workers carry orders out late
-	EntryReplacement Kind = "replace"   // an entry host is removed for good, another comes in its place
-	ConnSilence      Kind = "stale"     // open connections fall silent for good
-	BandwidthLimit   Kind = "narrow"    // an entry host's way to the platform carries little
-	WorkerRestart    Kind = "again"     // a worker crashes and starts again under its id
+	MachineRemoval   Kind = "remove"    // a machine drains for Duration and is removed for good
+	RunOrderDelay    Kind = "postpone"  // workers execute orders late
+	EntryReplacement Kind = "replace"   // an entry host is removed for good and another one added
+	ConnSilence      Kind = "stale"     // open connections lose everything they carry, for good
+	BandwidthLimit   Kind = "narrow"    // little bandwidth between an entry host and the platform
+	WorkerRestart    Kind = "again"     // a worker crashes and restarts under its id
 )
 
-// weights says how often each kind is drawn.
+// weights are the relative frequencies of the kinds that drawEvent chooses from.
 var weights = []struct {
 	Kind
 	weight int
@@ -63,47 +63,49 @@
 type Event struct {
 	At time.Duration
 	Kind
-	// Entry is the entry host that is hit, or the owner if Owner.
+	// Entry is the entry host that is affected. If Owner is set, it is the present owner
+	// instead.
 	Entry     int
 	Owner     bool
 	LinkState LinkState
 	Duration  time.Duration
-	// Hangs says that connections to a removed machine hang.
+	// Hangs reports whether connections to a removed host hang instead of being refused.
 	Hangs bool
-	// Upstream is which connections fall silent, of all entry hosts if All, and for
-	// answers only if OneWay.
+	// Upstream says which connections are silenced: those of all entry hosts if All, and
+	// only their answers if OneWay.
 	Upstream    Upstream
 	All, OneWay bool
-	// Mbps is what a narrow way carries in a second.
+	// Mbps is the bandwidth of a limited link.
 	Mbps float64
-	// Restart says how a worker starts again.
+	// Restart says how a worker restarts.
 	Restart fleet.Restart
 }
 
-// String tells of the event on one line.
+// String describes the event on one line.
 func (e Event) String() string {
-	who := fmt.Sprint("entry-", e.Entry)
+	host := fmt.Sprint("entry-", e.Entry)
 	if e.Owner {
-		who = "the owner"
+		host = "the owner"
 	}
 	if e.Kind == WorkerRestart {
 		return fmt.Sprintf("%6.2fs %-9s %+v", e.At.Seconds(), e.Kind, e.Restart)
 	}
 	if e.Kind == ConnSilence {
-		return fmt.Sprintf("%6.2fs %-9s %-9s way %s, of all: %t, one way: %t", e.At.Seconds(), e.Kind, who, e.Upstream, e.All, e.OneWay)
+		return fmt.Sprintf("%6.2fs %-9s %-9s upstream %s, all hosts: %t, one way: %t", e.At.Seconds(), e.Kind, host, e.Upstream, e.All, e.OneWay)
 	}
-	return fmt.Sprintf("%6.2fs %-9s %-9s trouble %d for %s", e.At.Seconds(), e.Kind, who, e.LinkState, e.Duration)
+	return fmt.Sprintf("%6.2fs %-9s %-9s link state %d for %s", e.At.Seconds(), e.Kind, host, e.LinkState, e.Duration)
 }
 
-// Faults come for burst, and then pause for as long as lasting tasks need to show
-// that they are at work again.
+// Faults are injected for burstTime, followed by calmTime without any, which is as long as
+// lasting tasks need to show that they are ready again.
 const (
 	burstTime = 20 * time.Second
 	calmTime  = watchTime
 )
 
-// Plan returns the events that follow from the seed: two a second on average, in
-// series and overlapping, until the given time, with pauses.
+// Plan returns the events of the seed until the given time: two a second on average, which
+// overlap and form series, with calm periods in between. The same arguments give the same
+// events.
 func Plan(seed uint64, entries int, until time.Duration) []Event {
 	l := independentEvents(seed, entries, until)
 	l = slices.DeleteFunc(l, func(e Event) bool { return e.At%(burstTime+calmTime) > burstTime })
@@ -115,19 +117,21 @@
 		l = append(l, orphanedRuns(r, entries, from, to)...)
 	}
 	l = append(l, configurations(r, until)...)
-	// Drawn apart, so that what follows from the seeds of before stays as it was.
+	// These have generators of their own, so that older seeds still give the same other
+	// events.
 	l = append(l, bandwidthLimits(rand.New(rand.NewPCG(seed, 2)), entries, until)...)
 	l = append(l, workerRestarts(rand.New(rand.NewPCG(seed, 3)), until)...)
 	return sortByTime(l)
 }
 
-// sortByTime sorts the events by their times; those of one time stay as they are.
+// sortByTime sorts the events by time and keeps the order of those at the same time.
 func sortByTime(l []Event) []Event {
 	slices.SortStableFunc(l, func(a, b Event) int { return int(a.At - b.At) })
 	return l
 }
 
-// independentEvents returns events that are drawn one by one.
+// independentEvents returns events that are drawn independently of each other, 600 ms apart
+// on average.
 func independentEvents(seed uint64, entries int, until time.Duration) []Event {
 	r := rand.New(rand.NewPCG(seed, 0))
 	var l []Event
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -11,58 +11,63 @@
 	"amberway/internal/local"
 )
 
-// Options say what a run is to be like.
+// Options configure a run.
 type Options struct {
-	Seed     uint64
+	Seed uint64
+	// Duration is how long faults are injected.
 	Duration time.Duration
 	Entries  int
-	// Workers are the machines of each of two pools.
+	// Workers is the number of machines in each of the two pools.
 	Workers int
-	// CrashingJobs has jobs handed in whose task crashes each worker that starts it.
+	// CrashingJobs adds jobs whose task crashes each worker that starts it.
 	CrashingJobs bool
-	// DisruptionBudgets has lasting jobs handed in of which only some tasks may be away, beside waves
-	// in series and a load by turns.
+	// DisruptionBudgets adds lasting jobs of which only some tasks may be unavailable, a
+	// series of waves, and a load that alternates between the queues.
 	DisruptionBudgets bool
-	// DelayMachineOrders has some orders to machines carried out late, after newer ones.
+	// DelayMachineOrders has some machine orders executed late, after newer ones.
 	DelayMachineOrders bool
-	// BinDir is the folder with the programs, Dir the one for logs.
+	// BinDir holds the programs, LogDir takes the logs.
 	BinDir, LogDir string
-	// Out takes a line for each event.
+	// Out gets a line for each event.
 	Out io.Writer
 }
 
-// Run is one run.
+// Run is one run of the soak.
 type Run struct {
 	Options
 	deployment *local.JobsDeployment
 	links      map[string]links
-	// settledAt is when all faults are over and settle has passed, watchedTo when
-	// what lasts was watched for long enough.
+	// settledAt is settleTime after the last fault was drawn: all jobs have to be done by
+	// then. Lasting tasks, cancelled jobs, configurations and keys are checked until
+	// watchUntil.
 	settledAt, watchUntil time.Time
 	mu                    sync.Mutex
-	// faults are those of each scope, lives counts processes of entry hosts.
+	// faults has the faults by scope, incarnations the number of process incarnations by
+	// entry host.
 	faults       map[string]*faultState
 	incarnations map[string]int
 	// configMu is held while a configuration is written.
 	configMu      sync.Mutex
 	configs       []configuration
 	cancellations []*cancellation
-	busy          map[string]bool
-	waveCount     int64
+	// busy has the entry hosts whose processes are reserved for a fault.
+	busy      map[string]bool
+	waveCount int64
+	// refusedJobs are ids of jobs that every answer refused.
 	refusedJobs   []string
 	counts        map[string]int
 	violations    []string
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Counts map[string]int
 	Starts int
-	// Violations are the promises that broke.
+	// Violations are the guarantees that did not hold.
 	Violations []string
 }
 
-// Do runs a deployment under the faults that follow from the seed.
+// Do runs a deployment under the faults of the seed.
 func Do(o Options) (Report, error) {
 	r := &Run{Options: o, links: map[string]links{}, busy: map[string]bool{}, counts: map[string]int{}, faults: map[string]*faultState{}, incarnations: map[string]int{}}
 	defer r.close()
@@ -106,8 +111,9 @@
 	return r.report(), nil
 }
 
-// proxyAddress has an entry host reach a service of the platform by a link of its own: the
-// store first, then the machines.
+// proxyAddress creates a link from an entry host to a service of the platform and returns the
+// link's address. The first call for an entry host is for the store, the second for the
+// machines.
 func (r *Run) proxyAddress(entry, address string) (string, error) {
 	k, err := NewLink(address)
 	if err != nil {
@@ -118,15 +124,15 @@
 	if r.links[entry] == nil {
 		r.links[entry] = links{}
 	}
-	way := upstreamStore
+	upstream := upstreamStore
 	if r.links[entry][upstreamStore] != nil {
-		way = upstreamMachines
+		upstream = upstreamMachines
 	}
-	r.links[entry][way] = k
+	r.links[entry][upstream] = k
 	return k.Address(), nil
 }
 
-// linksOf returns the links of an entry host, or of all.
+// linksOf returns the links of one entry host or of all.
 func (r *Run) linksOf(entry string, all bool) []links {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,11 +145,12 @@
 	return l
 }
 
-// entry returns an entry host; numbers beyond the last go round.
+// entry returns entry host n, modulo their number.
 func (r *Run) entry(n int) *local.JobsEntry {
 	return r.deployment.Entry(n % r.Entries)
 }
 
+// injectFaults injects the events of the plan, each at its time.
 func (r *Run) injectFaults(wg *sync.WaitGroup) {
 	begun := time.Now()
 	for _, e := range r.plan() {
@@ -153,8 +160,8 @@
 	}
 }
 
-// budgetedEventStride is how many events of a plan come to one that stays beside waves in series:
-// where faults follow one another at once, owners do not last long enough to empty hosts.
+// budgetedEventStride thins the plan out next to a series of waves, to one event in so many:
+// with denser faults, no owner lasts long enough to drain hosts.
 const budgetedEventStride = 5
 
 // plan returns the events of the run.
@@ -169,21 +176,21 @@
 }
 
 func (r *Run) report() Report {
-	b := r.deployment.Fleet.Checker
+	c := r.deployment.Fleet.Checker
 	r.countLateStarts()
 	for _, id := range r.refusedJobs {
-		if b.Started(id) {
-			r.violationf("%s was refused each time and has run", id)
+		if c.Started(id) {
+			r.violationf("%s was refused by every answer, but has run", id)
 		}
 	}
 	for n := range r.waveCount {
 		if m := r.deployment.Fleet.MaxDown(n + 1); m > waveMaxDown {
-			r.violationf("wave %d had %d machines down, and %d may be", n+1, m, waveMaxDown)
+			r.violationf("wave %d had %d machines down at once, more than its limit of %d", n+1, m, waveMaxDown)
 		}
 	}
-	r.counts["ended at work"] = b.Disruptions()
+	r.counts["ended at work"] = c.Disruptions()
 	r.counts["late host orders"] = r.deployment.Fleet.DelayedMachineOrders()
-	return Report{Counts: r.counts, Starts: b.StartCount(), Violations: append(r.violations, b.Violations()...)}
+	return Report{Counts: r.counts, Starts: c.StartCount(), Violations: append(r.violations, c.Violations()...)}
 }
 
 func (r *Run) close() {
@@ -197,16 +204,17 @@
 	}
 }
 
-// watchIsOver reports whether what lasts was watched for long enough.
+// watchIsOver reports whether the time for checks that go on after the faults is over.
 func (r *Run) watchIsOver() bool {
 	return time.Now().After(r.watchUntil)
 }
 
+// settled reports whether all jobs have to be done by now.
 func (r *Run) settled() bool {
 	return time.Now().After(r.settledAt)
 }
 
-// reserve reserves an entry host for one fault of its process.
+// reserve reserves an entry host's process for one fault and reports whether it was free.
 func (r *Run) reserve(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,7 +243,8 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, a...))
 }
 
-// recordError notes an error of the run itself, so that it does not pass for a success.
+// recordError reports an error of the run itself as a violation, so that the run does not
+// count as a success.
 func (r *Run) recordError(err error) {
 	if err != nil {
 		r.violationf("the run failed: %v", err)
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -7,13 +7,15 @@
 	"amberway/internal/standin/fleet"
 )
 
-// randomDuration draws a time, in whole milliseconds.
+// randomDuration draws a duration from [from, to) that differs from from by whole
+// milliseconds.
 func randomDuration(r *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(r.Int64N(max(1, (to-from).Milliseconds())))*time.Millisecond
 }
 
-// machineRemovals returns series of machines removed for good and kills of the owner: one
-// at any time of the burst, and one at its end, so that calm follows.
+// machineRemovals returns two series, each the permanent removal of a machine followed by
+// kills of the owner: one at any time of the burst, and one at its end, so that a calm period
+// follows.
 func machineRemovals(r *rand.Rand, from, to time.Duration) []Event {
 	at := []time.Duration{randomDuration(r, from+time.Second, to), randomDuration(r, max(from, to-4*time.Second), to)}
 	var l []Event
@@ -32,21 +34,21 @@
 	return l
 }
 
-// connSilences returns a series of connections that fall silent: of some entry hosts,
-// then of all.
+// connSilences returns a series of silenced connections, each time those of one entry host or
+// of all.
 func connSilences(r *rand.Rand, entries int, from, to time.Duration) []Event {
 	var l []Event
-	ways := []Upstream{upstreamStore, upstreamStore, upstreamMachines, upstreamWorkers}
+	upstreams := []Upstream{upstreamStore, upstreamStore, upstreamMachines, upstreamWorkers}
 	for at := randomDuration(r, from+time.Second, to); at < to; at += randomDuration(r, 500*time.Millisecond, 6*time.Second) {
 		e := Event{At: at, Kind: ConnSilence, Entry: r.IntN(entries), Owner: r.IntN(2) == 0, All: r.IntN(2) == 0, OneWay: r.IntN(3) == 0}
-		e.Upstream = ways[r.IntN(len(ways))]
+		e.Upstream = upstreams[r.IntN(len(upstreams))]
 		l = append(l, e)
 	}
 	return l
 }
 
-// bandwidthLimits returns links that carry 0.25 to 2 megabits a second for a while, or for good:
-// the soak's deployment has a tenth of the workers of a large one.
+// bandwidthLimits returns limits of 0.25 to 2 Mbit/s, for some seconds or until the end. These
+// are low since the soak's deployment has a tenth of the workers of a large one.
 func bandwidthLimits(r *rand.Rand, entries int, until time.Duration) []Event {
 	var l []Event
 	for at := randomDuration(r, time.Second, 10*time.Second); at < until; at += randomDuration(r, 3*time.Second, 15*time.Second) {
@@ -60,8 +62,8 @@
 	return l
 }
 
-// workerRestarts returns workers that crash and start again under their ids, some of them several
-// times, sooner than their records lapse, and by clocks that jump.
+// workerRestarts returns workers that crash and restart under their ids before their records
+// expire, some of them several times, with clocks that are off by up to 3 s either way.
 func workerRestarts(r *rand.Rand, until time.Duration) []Event {
 	var l []Event
 	for at := randomDuration(r, time.Second, 4*time.Second); at < until; at += randomDuration(r, 500*time.Millisecond, 5*time.Second) {
@@ -75,7 +77,7 @@
 	return l
 }
 
-// waves returns a wave each two to six seconds.
+// waves returns a wave every two to six seconds.
 func waves(r *rand.Rand, until time.Duration) []Event {
 	var l []Event
 	for at := randomDuration(r, time.Second, 3*time.Second); at < until; at += randomDuration(r, 2*time.Second, 6*time.Second) {
@@ -84,24 +86,24 @@
 	return l
 }
 
-// orphanedRuns returns what leaves runs behind that nobody expects: orders to stop and to
-// start that are carried out late, the last of them at the end of the burst, and the
-// loss of the owner that gave them, for good or not.
+// orphanedRuns returns events that leave orphaned runs behind: start and stop orders that are
+// executed late, the last of them at the end of the burst, each followed by a kill of the owner
+// or the replacement of an entry host, which is often the owner.
 func orphanedRuns(r *rand.Rand, entries int, from, to time.Duration) []Event {
 	var l []Event
 	for at := max(from+time.Second, to-randomDuration(r, time.Second, 3*time.Second)); at > from; at -= randomDuration(r, 3*time.Second, 7*time.Second) {
 		e := Event{At: at, Kind: RunOrderDelay, Entry: r.IntN(entries), Duration: randomDuration(r, 1500*time.Millisecond, 4500*time.Millisecond)}
 		l = append(l, e)
-		gone := Event{At: at + randomDuration(r, 300*time.Millisecond, 2*time.Second), Kind: Kill, Owner: true, Duration: randomDuration(r, 200*time.Millisecond, 2*time.Second)}
+		loss := Event{At: at + randomDuration(r, 300*time.Millisecond, 2*time.Second), Kind: Kill, Owner: true, Duration: randomDuration(r, 200*time.Millisecond, 2*time.Second)}
 		if r.IntN(2) == 0 {
-			gone = Event{At: gone.At, Kind: EntryReplacement, Entry: r.IntN(entries), Owner: r.IntN(3) > 0, Hangs: r.IntN(2) == 0}
+			loss = Event{At: loss.At, Kind: EntryReplacement, Entry: r.IntN(entries), Owner: r.IntN(3) > 0, Hangs: r.IntN(2) == 0}
 		}
-		l = append(l, gone)
+		l = append(l, loss)
 	}
 	return l
 }
 
-// configurations returns changes of the configuration, in calm as well.
+// configurations returns configuration changes, during calm periods as well.
 func configurations(r *rand.Rand, until time.Duration) []Event {
 	var l []Event
 	for at := time.Second; at < until+calmTime; at += randomDuration(r, 300*time.Millisecond, 4*time.Second) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,16 +23,16 @@
 			require.Less(t, e.Entry, 4)
 		}
 	}
-	require.Len(t, seen, len(weights)+6, "each kind is drawn, and the six of the series")
+	require.Len(t, seen, len(weights)+6, "each weighted kind occurs, and the six kinds of the series")
 }
 
-// echo answers each byte, and returns its address.
+// echo starts a server that sends each byte back, and returns its address.
 func echo(t *testing.T) string {
 	return echoTo(t, make(chan byte, 1000))
 }
 
-// echoTo answers each byte and passes it on.
-func echoTo(t *testing.T, came chan<- byte) string {
+// echoTo is echo, and sends each byte to the channel as well.
+func echoTo(t *testing.T, received chan<- byte) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -48,7 +48,7 @@
 					if _, err := c.Read(b); err != nil {
 						return
 					}
-					came <- b[0]
+					received <- b[0]
 					_, _ = c.Write(b)
 				}
 			}()
@@ -58,36 +58,36 @@
 }
 
 // ask sends one byte and returns how long its answer took.
-func ask(c net.Conn, within time.Duration) (time.Duration, error) {
-	begun := time.Now()
-	_ = c.SetDeadline(begun.Add(within))
+func ask(c net.Conn, timeout time.Duration) (time.Duration, error) {
+	start := time.Now()
+	_ = c.SetDeadline(start.Add(timeout))
 	if _, err := c.Write([]byte("x")); err != nil {
 		return 0, err
 	}
 	_, err := c.Read(make([]byte, 1))
-	return time.Since(begun), err
+	return time.Since(start), err
 }
 
-// TestLinkLimitsBandwidth sends 30 kB over 100 kB a second.
+// TestLinkLimitsBandwidth sends 30 kB at 100 kB/s.
 func TestLinkLimitsBandwidth(t *testing.T) {
-	came := make(chan byte, 30000)
-	k, err := NewLink(echoTo(t, came))
+	received := make(chan byte, 30000)
+	k, err := NewLink(echoTo(t, received))
 	require.NoError(t, err)
 	defer k.Close()
 	k.SetLimiter(rate.NewLimiter(100e3, 1000))
 	c, err := net.Dial("tcp", k.Address())
 	require.NoError(t, err)
 	defer c.Close()
-	begun := time.Now()
+	start := time.Now()
 	for range 30 {
 		_, err = c.Write(make([]byte, 1000))
 		require.NoError(t, err)
 		time.Sleep(time.Millisecond)
 	}
 	for range 30000 {
-		<-came
+		<-received
 	}
-	require.Greater(t, time.Since(begun), 250*time.Millisecond)
+	require.Greater(t, time.Since(start), 250*time.Millisecond)
 }
 
 func TestLinkFollowsItsState(t *testing.T) {
@@ -101,15 +101,15 @@
 	k.SetState(Slow)
 	d, err := ask(c, time.Second)
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, d, 2*slowDelay, "both ways")
-	for _, x := range []LinkState{Blocked, AnswersBlocked} {
-		k.SetState(x)
+	require.GreaterOrEqual(t, d, 2*slowDelay, "in both directions")
+	for _, s := range []LinkState{Blocked, AnswersBlocked} {
+		k.SetState(s)
 		_, err = ask(c, 200*time.Millisecond)
 		require.Error(t, err)
 		k.SetState(Healthy)
 		_ = c.SetDeadline(time.Now().Add(time.Second))
 		_, err = c.Read(make([]byte, 1))
-		require.NoError(t, err, "what was held back comes after the trouble")
+		require.NoError(t, err, "bytes that were held back arrive once the link is healthy")
 	}
 	k.SetState(Reset)
 	_, err = ask(c, time.Second)
@@ -119,19 +119,19 @@
 func TestSilencedConnectionsStaySilentWhileNewOnesWork(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
-			came := make(chan byte, 10)
-			k, err := NewLink(echoTo(t, came))
+			received := make(chan byte, 10)
+			k, err := NewLink(echoTo(t, received))
 			require.NoError(t, err)
 			t.Cleanup(k.Close)
 			c, err := net.Dial("tcp", k.Address())
 			require.NoError(t, err)
 			_, err = ask(c, time.Second)
 			require.NoError(t, err)
-			<-came
+			<-received
 			k.Silence(oneWay)
 			_, err = ask(c, 200*time.Millisecond)
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded, "no answer, and no reset")
-			require.Len(t, came, map[bool]int{false: 0, true: 1}[oneWay], "requests that came")
+			require.Len(t, received, map[bool]int{false: 0, true: 1}[oneWay], "requests received")
 			_, err = ask(c, 200*time.Millisecond)
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded, "for good")
 			d, err := net.Dial("tcp", k.Address())
@@ -143,7 +143,7 @@
 				k.mu.Lock()
 				defer k.mu.Unlock()
 				return oneWay == (len(k.conns) == 1)
-			}, time.Second, 5*time.Millisecond, "the server learns of the end only by what passes")
+			}, time.Second, 5*time.Millisecond, "the server learns of the close only if requests are not lost")
 		})
 	}
 }
