--- a/internal/checks/checks.go
+++ b/internal/checks/checks.go
@@ -1,4 +1,4 @@
-// Package checks sets how many cases the stateful tests try.
+// Package checks sets the number of cases that property-based tests try.
 package checks
 
 import (
@@ -6,17 +6,17 @@
 	"os"
 	"testing"
 
-	// The flags that Main sets are those of rapid.
+	// Main sets flags that this package defines.
 	_ "pgregory.net/rapid"
 )
 
-// Main runs a package's tests with so many cases for each stateful test,
-// unless the command line names another number.
+// Main runs a package's tests with a number of cases for each property-based test, unless the
+// command line gives another number.
 func Main(m *testing.M, cases string) {
 	flag.Parse()
-	named := false
-	flag.Visit(func(f *flag.Flag) { named = named || f.Name == "rapid.checks" })
-	if !named {
+	given := false
+	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.checks" })
+	if !given {
 		_ = flag.Set("rapid.checks", cases)
 	}
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/local/cmd/capacity/main.go
+++ b/internal/local/cmd/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures what an entry host spends on control, with no
-// requests, at several numbers of entry hosts, hosts and pools, and how long a
-// configuration takes to be in force.
+// Command capacity measures what an idle entry host needs, without any requests, at several
+// numbers of entry hosts, hosts and pools, and how long a configuration takes to be in force
+// everywhere.
 package main
 
 import (
@@ -16,15 +16,15 @@
 	"amberway/platform"
 )
 
-// size is one measured size.
+// size is the size of one measured deployment.
 type size struct {
 	entries int
 	hosts   int
 	pools   int
 }
 
-// warmUp is how long a deployment runs before it is measured, and measure how
-// long it is.
+// warmUp is how long a deployment runs before the measurement, measureTime how long the
+// measurement takes.
 const (
 	warmUp      = 4 * time.Second
 	measureTime = 10 * time.Second
@@ -67,8 +67,8 @@
 	})
 }
 
-// selectSizes keeps the sizes with the number of entry hosts that the command line
-// names, or all.
+// selectSizes returns the sizes whose number of entry hosts is among the command line's
+// arguments, or all sizes if there are none.
 func selectSizes(l []size) []size {
 	if len(os.Args) < 2 {
 		return l
@@ -76,7 +76,7 @@
 	return slices.DeleteFunc(l, func(s size) bool { return !slices.Contains(os.Args[1:], fmt.Sprint(s.entries)) })
 }
 
-// hosts returns hosts that only stand in the list.
+// hosts returns hosts for the platform's list. They do not exist otherwise.
 func hosts(s size) []platform.Host {
 	l := make([]platform.Host, 0, s.hosts)
 	for n := range s.hosts {
@@ -93,6 +93,8 @@
 	return fmt.Sprintf("pool-%03d", n)
 }
 
+// document returns a configuration whose first pool needs a number of available hosts. Another
+// number makes it another configuration.
 func document(s size, available int) []byte {
 	names := make([]string, 0, s.pools)
 	for n := range s.pools {
@@ -102,6 +104,7 @@
 	return []byte(strings.Replace(doc, "north: 0", fmt.Sprintf("north: %d", available), 1))
 }
 
+// report measures the deployment and prints a line with the highest usage of any entry host.
 func report(ctx context.Context, d *local.Deployment, s size) error {
 	before := make([]local.Usage, len(d.Entries))
 	for i, e := range d.Entries {
@@ -111,33 +114,33 @@
 		}
 		before[i] = u
 	}
-	calls, err := d.Stats()
+	statsBefore, err := d.Stats()
 	if err != nil {
 		return err
 	}
 	start := time.Now()
 	time.Sleep(measureTime)
-	took := time.Since(start).Seconds()
-	var most local.Usage
+	seconds := time.Since(start).Seconds()
+	var highest local.Usage
 	for i, e := range d.Entries {
 		u, err := e.Usage()
 		if err != nil {
 			return err
 		}
-		most.CPU = max(most.CPU, u.CPU-before[i].CPU)
-		most.IOBytes = max(most.IOBytes, u.IOBytes-before[i].IOBytes)
-		most.ResidentBytes = max(most.ResidentBytes, u.ResidentBytes)
+		highest.CPU = max(highest.CPU, u.CPU-before[i].CPU)
+		highest.IOBytes = max(highest.IOBytes, u.IOBytes-before[i].IOBytes)
+		highest.ResidentBytes = max(highest.ResidentBytes, u.ResidentBytes)
 	}
-	after, err := d.Stats()
+	statsAfter, err := d.Stats()
 	if err != nil {
 		return err
 	}
-	applied, err := d.Apply(ctx, document(s, 1), 1)
+	applyTime, err := d.Apply(ctx, document(s, 1), 1)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%11d  %5d  %5d  %15.2f  %9.1f  %4.1f  %7.1f  %8.2f  %7.3f\n", s.entries, s.hosts, s.pools,
-		100*most.CPU.Seconds()/took, float64(most.ResidentBytes)/(1<<20), float64(most.IOBytes)/took/1024,
-		float64(after.Reads+after.Watches-calls.Reads-calls.Watches)/took, float64(after.Writes-calls.Writes)/took, applied.Seconds())
+		100*highest.CPU.Seconds()/seconds, float64(highest.ResidentBytes)/(1<<20), float64(highest.IOBytes)/seconds/1024,
+		float64(statsAfter.Reads+statsAfter.Watches-statsBefore.Reads-statsBefore.Watches)/seconds, float64(statsAfter.Writes-statsBefore.Writes)/seconds, applyTime.Seconds())
 	return nil
 }
--- a/internal/local/cmd/demo/main.go
+++ b/internal/local/cmd/demo/main.go
@@ -1,6 +1,6 @@
 // Command demo runs a small deployment, sends a load through it while the
 // configuration changes, a target is drained and an entry host stops, and
-// prints what became of it.
+// prints the results.
 package main
 
 import (
@@ -53,8 +53,8 @@
 	if err := d.WaitReady(); err != nil {
 		return err
 	}
-	tally := make(chan standin.LoadReport, 1)
-	go func() { tally <- standin.NewCaller().Run(ctx, load(d)) }()
+	results := make(chan standin.LoadReport, 1)
+	go func() { results <- standin.NewCaller().Run(ctx, load(d)) }()
 	time.Sleep(time.Second)
 	second, err := d.Apply(ctx, local.Document(d.DataCentres, names, 1), 1)
 	if err != nil {
@@ -68,7 +68,7 @@
 	if err := d.Entries[3].Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return report(ctx, d, <-tally, first, second)
+	return report(ctx, d, <-results, first, second)
 }
 
 func load(d *local.Deployment) standin.Load {
@@ -86,7 +86,7 @@
 }
 
 func report(ctx context.Context, d *local.Deployment, t standin.LoadReport, first, second time.Duration) error {
-	doubled, err := d.DuplicateRuns()
+	duplicates, err := d.DuplicateRuns()
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 		{"may have run", t.MayHaveRun},
 		{"lost", t.Lost},
 		{"crossed", t.Mismatched},
-		{"doubled", len(doubled)},
+		{"doubled", len(duplicates)},
 		{"jobs moved in the north", status.JobMoves},
 		{"longest answer", t.MaxLatency.Round(time.Millisecond)},
 		{"first configuration in force everywhere", first.Round(time.Millisecond)},
@@ -126,7 +126,7 @@
 	for _, h := range hosts {
 		fmt.Printf("%-42s %s\n", "host "+h.Name, h.State)
 	}
-	if t.Lost+t.Mismatched+len(doubled)+t.Late > 0 || t.Answered < t.Sent*9/10 || code != 0 {
+	if t.Lost+t.Mismatched+len(duplicates)+t.Late > 0 || t.Answered < t.Sent*9/10 || code != 0 {
 		return fmt.Errorf("something was lost, late, crossed or doubled, or too little was answered")
 	}
 	return nil
--- a/internal/local/cmd/jobs/main.go
+++ b/internal/local/cmd/jobs/main.go
@@ -1,6 +1,6 @@
-// Command jobs runs a small deployment that serves jobs, hands jobs in while
-// its owner is killed, the configuration changes and a wave maintains half of
-// the machines, and prints what became of them.
+// Command jobs runs a small deployment that serves jobs, submits jobs while its owner is
+// killed, the configuration changes and a wave maintains half of the machines, and prints
+// the results.
 package main
 
 import (
@@ -25,13 +25,13 @@
 	}
 }
 
-// The load of the demo: two queues for some fifteen seconds.
+// The load takes about fifteen seconds.
 const (
 	jobCount    = 150
 	jobInterval = 100 * time.Millisecond
 	waveNumber  = 1
 	waveMaxDown = 2
-	// jobTimeout is how long jobs may take after the last was handed in.
+	// jobTimeout bounds the time from a caller's first try to submit its job to its last poll.
 	jobTimeout = 20 * time.Second
 )
 
@@ -59,7 +59,7 @@
 	return t.print(j)
 }
 
-// injectFaults kills the owner, changes the configuration and asks for a wave.
+// injectFaults requests a wave, changes the configuration, kills the owner and restarts it.
 func injectFaults(ctx context.Context, j *local.JobsDeployment) {
 	wait := func(d time.Duration) bool {
 		select {
@@ -97,6 +97,7 @@
 	fmt.Println(what)
 }
 
+// loadReport collects the results of all jobs.
 type loadReport struct {
 	mu          sync.Mutex
 	finalStates map[string]int
@@ -116,8 +117,8 @@
 	wg.Wait()
 }
 
-// runJob hands one job in, at another entry host after no answer, and asks for
-// its state until it is final.
+// runJob submits one job, trying the next entry host after each failure, and polls its state
+// until it is final.
 func (t *loadReport) runJob(j *local.JobsDeployment, n int) {
 	queue := []string{"blue", "green"}[n%2]
 	id := fmt.Sprintf("%016x", n+1)
@@ -125,8 +126,8 @@
 		{Count: 3, CPU: 1000, MemMB: 100, EstimateMs: 400},
 		{Count: 2, CPU: 1500, MemMB: 100, EstimateMs: 400, After: []int{0}},
 	}}
-	begun := time.Now()
-	for i := 0; time.Since(begun) < jobTimeout; i++ {
+	start := time.Now()
+	for i := 0; time.Since(start) < jobTimeout; i++ {
 		code, _, err := j.Entries[(n+i)%len(j.Entries)].Call(http.MethodPost, queue, id, job)
 		t.recordStatus(code)
 		if err == nil && code == http.StatusOK {
@@ -135,7 +136,7 @@
 		time.Sleep(300 * time.Millisecond)
 	}
 	state := "unknown"
-	for i := 0; time.Since(begun) < jobTimeout; i++ {
+	for i := 0; time.Since(start) < jobTimeout; i++ {
 		code, body, err := j.Entries[(n+i)%len(j.Entries)].Call(http.MethodGet, queue, id, nil)
 		if err == nil && code == http.StatusOK && body != `{"state":"queued"}` && body != `{"state":"running"}` {
 			state = body
@@ -146,7 +147,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.finalStates[state]++
-	t.maxDuration = max(t.maxDuration, time.Since(begun))
+	t.maxDuration = max(t.maxDuration, time.Since(start))
 }
 
 func (t *loadReport) recordStatus(code int) {
@@ -172,7 +173,7 @@
 		return err
 	}
 	if l := j.Fleet.Checker.Violations(); len(l) > 0 {
-		return fmt.Errorf("broken promises: %q", l)
+		return fmt.Errorf("violations: %q", l)
 	}
 	if t.finalStates[`{"state":"succeeded"}`] != jobCount {
 		return fmt.Errorf("not all of %d jobs succeeded", jobCount)
--- a/internal/local/cmd/profile/main.go
+++ b/internal/local/cmd/profile/main.go
@@ -1,5 +1,5 @@
-// Command profile runs a deployment that serves jobs under a steady load and prints what
-// the owner's processor time goes into.
+// Command profile runs a deployment that serves jobs under a steady load and prints how the
+// owner's CPU time divides over its tasks.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	"amberway/internal/standin/fleet"
 )
 
-// options say what is run.
+// options are the command line's options.
 type options struct {
 	Workers  int           `arg:"--workers" default:"350" help:"workers of the deployment, in four pools"`
 	Jobs     float64       `arg:"--jobs" default:"60" help:"jobs handed in a second"`
@@ -80,7 +80,7 @@
 
 var pools = []string{"blue", "green", "red", "violet"}
 
-// submitJobs hands jobs in until the context ends.
+// submitJobs submits jobs until the context ends.
 func submitJobs(ctx context.Context, j *local.JobsDeployment, o options) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / o.Jobs))
 	defer t.Stop()
@@ -90,17 +90,17 @@
 			return
 		case <-t.C:
 		}
-		work := fleet.Job{Spec: o.TaskTime.String(), Steps: []fleet.Step{{Count: o.Tasks, CPU: 1500, MemMB: 500, EstimateMs: int(o.TaskTime.Milliseconds())}}}
+		job := fleet.Job{Spec: o.TaskTime.String(), Steps: []fleet.Step{{Count: o.Tasks, CPU: 1500, MemMB: 500, EstimateMs: int(o.TaskTime.Milliseconds())}}}
 		go func() {
 			id := fmt.Sprintf("%016x", rand.Uint64())
-			if code, _, err := j.Entry(n%3).Call(http.MethodPost, pools[n%len(pools)], id, work); err != nil || code != http.StatusOK {
-				fmt.Fprintln(os.Stderr, "profile: not taken:", code, err)
+			if code, _, err := j.Entry(n%3).Call(http.MethodPost, pools[n%len(pools)], id, job); err != nil || code != http.StatusOK {
+				fmt.Fprintln(os.Stderr, "profile: job not accepted:", code, err)
 			}
 		}()
 	}
 }
 
-// profileOwner profiles the owner and prints its time by what it is for.
+// profileOwner profiles the owner and prints its CPU time by category.
 func profileOwner(j *local.JobsDeployment, o options) error {
 	owner := j.Owner()
 	if owner == nil {
@@ -135,7 +135,7 @@
 	return printTable(sumByCategory(p), (after-before)/o.Duration.Seconds(), o)
 }
 
-// startCount returns how many starts the owner has ordered, by its metrics.
+// startCount returns the number of start orders in the owner's metrics.
 func startCount(e *local.JobsEntry) (float64, error) {
 	res, err := http.Get(fmt.Sprintf("http://%s/metrics", e.Peers))
 	if err != nil {
@@ -160,18 +160,19 @@
 	return n, nil
 }
 
-// categories are what the time goes into: the first whose function is on a stack has it.
+// categories are the categories of CPU time. A sample belongs to the first one whose function
+// is on its stack. Names of functions in package job have to follow renames there.
 var categories = []struct{ name, function string }{
 	{"garbage", "runtime.gcBgMarkWorker"},
 	{"garbage", "runtime.gcAssistAlloc"},
-	{"log", "job.(*Journal)"},
+	{"log", "job.(*Logger)"},
 	{"metrics", "job.(*metrics)"},
 	{"start", "job.(*owner).startRun"},
-	{"look", "job.(*owner).look"},
+	{"look", "job.(*owner).poll"},
 	{"stop, pace", "job.(*owner).stopRun"},
-	{"note of ends", "job.(*owner).keep"},
+	{"note of ends", "job.(*owner).writeStore"},
 	{"placing", "job.(*Core).place"},
-	{"pools and waves", "job.(*Core).tendMachines"},
+	{"pools and waves", "job.(*Core).reconcileMachines"},
 	{"time passing", "job.Tick.apply"},
 	{"other events", "job.(*Core).Step"},
 	{"list of machines", "job.(*owner).listMachines"},
@@ -185,7 +186,7 @@
 	{"scheduler of the runtime", "runtime.mstart"},
 }
 
-// sumByCategory adds up the processor time by matter.
+// sumByCategory adds up the CPU time by category.
 func sumByCategory(p *profile.Profile) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for _, s := range p.Sample {
@@ -195,10 +196,10 @@
 }
 
 func categoryOf(s *profile.Sample) string {
-	for _, m := range categories {
+	for _, c := range categories {
 		for _, l := range s.Location {
-			if slices.ContainsFunc(l.Line, func(n profile.Line) bool { return strings.Contains(n.Function.Name, m.function) }) {
-				return m.name
+			if slices.ContainsFunc(l.Line, func(n profile.Line) bool { return strings.Contains(n.Function.Name, c.function) }) {
+				return c.name
 			}
 		}
 	}
--- a/internal/local/deployment.go
+++ b/internal/local/deployment.go
@@ -1,6 +1,5 @@
 // Package local runs a whole deployment as processes on this machine, for
-// tests, the demo and measurements. Only they start processes; the daemon
-// starts none.
+// tests, demos and measurements.
 package local
 
 import (
@@ -20,29 +19,28 @@
 	"amberway/platform"
 )
 
-// Tokens of every local deployment.
+// The tokens of every local deployment.
 const (
 	AdminToken = "local-admin"
 	peerToken  = "local-peer"
 )
 
-// Options say how large a deployment is.
+// Options configure a deployment.
 type Options struct {
 	DataCentres []string
 	// Entries is the number of entry hosts in each data centre.
 	Entries int
-	// Targets are the hosts in each data centre, by the pool label that they
-	// carry.
+	// Targets is the number of targets in each data centre, by pool label.
 	Targets map[string]int
-	// Slots is the number of slots of each target; 8 if zero.
+	// Slots is the number of slots of each target, 8 by default.
 	Slots int
-	// RackSize is the number of targets of a pool to a rack; 4 if zero.
+	// RackSize is the number of targets of a pool in each rack, 4 by default.
 	RackSize int
-	// RebootTime is how long a reboot takes; one second if zero.
+	// RebootTime is how long a reboot takes, one second by default.
 	RebootTime time.Duration
 }
 
-// Entry is one entry host.
+// Entry is an entry host.
 type Entry struct {
 	*Process
 	DataCentre string
@@ -62,13 +60,13 @@
 	return admin.NewClient(&url.URL{Scheme: "http", Host: e.Admin.String()}, AdminToken)
 }
 
-// Target is one target.
+// Target is a target.
 type Target struct {
 	*Process
 	Host platform.Host
 }
 
-// Deployment is a platform, entry hosts and targets.
+// Deployment is a running deployment: a platform, entry hosts and targets.
 type Deployment struct {
 	Options
 	dir       string
@@ -79,9 +77,9 @@
 	Targets   []*Target
 }
 
-// Run builds the programs, starts a deployment, calls f with it and stops it,
-// all in a directory of its own. A signal ends the context of f, and an output
-// that nobody reads is an error, so that no process stays behind.
+// Run builds the programs, starts a deployment, calls f with it and stops it, all in a
+// temporary directory. So that no process is left behind, a signal cancels the context of f,
+// and a write to a closed pipe is an error instead of a SIGPIPE.
 func Run(ctx context.Context, o Options, f func(ctx context.Context, d *Deployment) error) error {
 	signal.Ignore(syscall.SIGPIPE)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
@@ -103,8 +101,8 @@
 	return f(ctx, d)
 }
 
-// Start starts everything and waits until each entry host answers. The caller
-// has to Stop it, also after an error.
+// Start starts a deployment and waits until its entry hosts answer. The caller
+// has to call Stop, also after an error.
 func Start(ctx context.Context, bin, dir string, o Options) (*Deployment, error) {
 	if o.Slots == 0 {
 		o.Slots = 8
@@ -171,7 +169,7 @@
 	return d.SetHosts(ctx, l)
 }
 
-// defaultRackSize is the usual number of workers to a rack.
+// defaultRackSize is the default number of targets in a rack.
 const defaultRackSize = 4
 
 func (d *Deployment) startTarget(name, dc, pool string, i int) (*Target, error) {
@@ -207,7 +205,7 @@
 	return nil
 }
 
-// Launch starts an entry host that is not running. All others are its seeds.
+// Launch starts an entry host that is not running, with all others as its seeds.
 func (d *Deployment) Launch(e *Entry) error {
 	args := e.args
 	for _, o := range d.Entries {
@@ -240,7 +238,7 @@
 	return spawn(d.dir, filepath.Join(d.bin, program), name, args)
 }
 
-// Stop ends every process.
+// Stop kills all processes.
 func (d *Deployment) Stop() {
 	for _, e := range d.Entries {
 		e.Kill()
@@ -251,7 +249,8 @@
 	d.Platform.Kill()
 }
 
-// SetPlatformFault switches the platform's faults for one data centre or for all.
+// SetPlatformFault sets or clears a fault of the platform's listener for one data centre, or
+// of all its listeners.
 func (d *Deployment) SetPlatformFault(listener string, f standin.Fault) error {
 	return d.callControl(http.MethodPost, "/standin/faults?listener="+listener, f, nil)
 }
@@ -261,24 +260,25 @@
 	return d.callControl(http.MethodPost, "/standin/hosts", l, nil)
 }
 
-// Stats returns how many calls the platform took.
+// Stats returns how many calls the platform has served.
 func (d *Deployment) Stats() (standin.Stats, error) {
 	var s standin.Stats
 	return s, d.callControl(http.MethodGet, "/standin/stats", nil, &s)
 }
 
+// callControl calls the control listener of the platform.
 func (d *Deployment) callControl(method, path string, body, v any) error {
 	return callJSON(method, "http://"+d.platforms["control"].String()+path, body, v)
 }
 
-// Runs returns what the target has run.
+// Runs returns statistics of the target's runs.
 func (t *Target) Runs() (standin.RunStats, error) {
 	var r standin.RunStats
 	err := callJSON(http.MethodGet, "http://"+t.Host.Address.String()+"/standin/runs", nil, &r)
 	return r, err
 }
 
-// SetFault switches the target's fault.
+// SetFault sets or clears the target's fault.
 func (t *Target) SetFault(f standin.Fault) error {
 	return callJSON(http.MethodPost, "http://"+t.Host.Address.String()+"/standin/faults", f, nil)
 }
--- a/internal/local/document.go
+++ b/internal/local/document.go
@@ -10,9 +10,9 @@
 	"amberway/admin"
 )
 
-// Document returns a configuration with one pool and one service for each name,
-// each with a quick job, a patient one, and one that may not be repeated. Each
-// data centre has to keep the number available.
+// Document returns a configuration document with a pool and a service for each name. Each
+// service has a quick job, a patient one, and one that may not be repeated. The budget of
+// each pool requires a number of available hosts in each data centre.
 func Document(dcs, names []string, available int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "operator: local\ndata_centres: [%s]\nteams:\n  - name: all\npools:\n", strings.Join(dcs, ", "))
@@ -33,9 +33,8 @@
 	return []byte(b.String())
 }
 
-// Apply puts a document in force as the generation after base and waits until
-// every entry host has it and its targets are usable. It returns the time that
-// it took to be in force everywhere.
+// Apply applies a document as the generation after base and waits until every entry host has
+// it. It returns how long that took.
 func (d *Deployment) Apply(ctx context.Context, doc []byte, base int64) (time.Duration, error) {
 	start := time.Now()
 	r, err := d.Entries[0].Client().Apply(ctx, doc, base)
@@ -45,8 +44,8 @@
 	return d.WaitGeneration(ctx, r.Generation, start)
 }
 
-// WaitGeneration waits until every entry host has the generation, and returns
-// the time since start.
+// WaitGeneration waits until every entry host has the generation and returns the time since
+// start.
 func (d *Deployment) WaitGeneration(ctx context.Context, gen int64, start time.Time) (time.Duration, error) {
 	err := waitFor(10*time.Second, func() error {
 		for _, e := range d.Entries {
@@ -63,7 +62,7 @@
 	return time.Since(start), err
 }
 
-// WaitReady waits until every entry host is ready for the balancer.
+// WaitReady waits until every entry host reports that it is ready.
 func (d *Deployment) WaitReady() error {
 	return waitFor(10*time.Second, func() error {
 		for _, e := range d.Entries {
@@ -75,16 +74,16 @@
 	})
 }
 
-// WaitHosts waits until every entry host has so many hosts for which f holds.
-func (d *Deployment) WaitHosts(ctx context.Context, within time.Duration, n int, f func(admin.Host) bool) error {
-	return waitFor(within, func() error {
+// WaitHosts waits until every entry host lists exactly n hosts for which f holds.
+func (d *Deployment) WaitHosts(ctx context.Context, timeout time.Duration, n int, f func(admin.Host) bool) error {
+	return waitFor(timeout, func() error {
 		for _, e := range d.Entries {
 			l, err := e.Client().Hosts(ctx)
 			if err != nil {
 				return err
 			}
 			if got := countHosts(l, f); got != n {
-				return fmt.Errorf("%s has %d such hosts, not %d", e.Name, got, n)
+				return fmt.Errorf("%s has %d matching hosts, not %d", e.Name, got, n)
 			}
 		}
 		return nil
@@ -110,7 +109,7 @@
 	return l
 }
 
-// DuplicateRuns returns the ids that were run more than once, over all targets.
+// DuplicateRuns returns the ids that have been run more than once, over all targets.
 func (d *Deployment) DuplicateRuns() ([]string, error) {
 	all, err := d.RunsByID()
 	if err != nil {
@@ -125,7 +124,7 @@
 	return l, nil
 }
 
-// RunsByID returns how often each id was run, over all targets.
+// RunsByID returns how often each id has been run, over all targets.
 func (d *Deployment) RunsByID() (map[string]int, error) {
 	all := map[string]int{}
 	for _, t := range d.Targets {
--- a/internal/local/entry.go
+++ b/internal/local/entry.go
@@ -12,9 +12,9 @@
 	"amberway/internal/standin/fleet"
 )
 
-// JobsEntry is one entry host that serves jobs.
+// JobsEntry is an entry host that serves jobs.
 type JobsEntry struct {
-	// Process is another one after each restart.
+	// Process is replaced at each restart.
 	*Process
 	Name         string
 	Callers      netip.AddrPort
@@ -23,7 +23,7 @@
 	settingsFile string
 }
 
-// Ready reports whether the entry host calls itself ready.
+// Ready reports whether the entry host's readiness probe succeeds.
 func (e *JobsEntry) Ready() bool {
 	res, err := http.Get("http://" + e.readyAddr.String() + "/ready")
 	if err != nil {
@@ -33,18 +33,18 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Call makes one caller's request and returns the status and the body.
+// Call sends a request with the permanent key and returns the status and the body.
 func (e *JobsEntry) Call(method, queue, id string, body any) (int, string, error) {
 	return e.CallWithKey(permanentKey, method, queue, id, body)
 }
 
-// QueueLengthRequest returns the request for how many jobs of a queue wait, as it goes over a
-// connection.
+// QueueLengthRequest returns an HTTP request for the number of waiting jobs of a queue, in its
+// wire format.
 func (e *JobsEntry) QueueLengthRequest(queue string) string {
 	return fmt.Sprintf("GET %s%s/ HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n\r\n", fleet.QueuePrefix, queue, fleet.JobsHost, permanentKey)
 }
 
-// CallWithKey is Call with another key.
+// CallWithKey is Call with another team key.
 func (e *JobsEntry) CallWithKey(key, method, queue, id string, body any) (int, string, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
--- a/internal/local/jobs.go
+++ b/internal/local/jobs.go
@@ -16,27 +16,27 @@
 	"amberway/internal/standin/fleet"
 )
 
-// JobsOptions say how large a deployment for jobs is.
+// JobsOptions configure a deployment that serves jobs.
 type JobsOptions struct {
 	Entries int
-	// Workers are the machines of each pool.
+	// Workers is the number of machines in each pool.
 	Workers map[string]int
-	// SpareMachines is how many machines are switched off.
+	// SpareMachines is the number of machines in the spare pool, which are switched off.
 	SpareMachines int
-	// Profile has entry hosts serve profiles beside their metrics.
+	// Profile has entry hosts serve profiles on the listener of their metrics.
 	Profile bool
-	// KeysWithin, if not zero, has callers need the key of a team, and says how long one
-	// that was taken away may go on working.
+	// KeysWithin, if not zero, requires callers to have a team key, and is how long a
+	// revoked key may still be accepted.
 	KeysWithin time.Duration
-	// Downtime is how long a move or upkeep takes; 300 milliseconds if zero.
+	// Downtime is how long a move or maintenance takes, 300 milliseconds by default.
 	Downtime time.Duration
-	// ProxyAddress returns the address by which an entry host reaches one of the
-	// platform's; the same if nil.
+	// ProxyAddress returns the address at which an entry host reaches an address of the
+	// platform. By default it is the same address.
 	ProxyAddress func(entry, address string) (string, error)
 }
 
-// JobsDeployment is a deployment that serves jobs: the platform's stand-ins in this
-// process, and entry hosts as processes of their own.
+// JobsDeployment is a running deployment that serves jobs: the platform and the workers as
+// stand-ins in this process, and entry hosts as processes of their own.
 type JobsDeployment struct {
 	JobsOptions
 	Fleet   *fleet.Fleet
@@ -44,8 +44,8 @@
 	dir     string
 	bin     string
 	version int64
-	// mu guards the rows of Entries once hosts are replaced, removed are those
-	// that were.
+	// mu guards the elements of Entries, which Replace changes, and removed, which has the
+	// entry hosts that were replaced.
 	mu      sync.Mutex
 	removed []*JobsEntry
 }
@@ -53,7 +53,7 @@
 // SparePool is the pool of machines that are switched off.
 const SparePool = "spare"
 
-// machineSize is what each machine has.
+// machineSize is the capacity of each machine.
 var machineSize = fleet.Capacity{CPU: 8000, MemMB: 16000}
 
 // AddMachine adds a machine to a pool.
@@ -62,7 +62,7 @@
 }
 
 // StartJobsDeployment starts a deployment and waits until each entry host is ready. The
-// caller has to Stop it, also after an error.
+// caller has to call Stop, also after an error.
 func StartJobsDeployment(bin, dir string, o JobsOptions) (*JobsDeployment, error) {
 	if o.Downtime == 0 {
 		o.Downtime = 300 * time.Millisecond
@@ -95,26 +95,26 @@
 	return j, waitFor(20*time.Second, j.allReady)
 }
 
-// Configure writes the next configuration: one queue for each pool, and those
-// named besides, which run on the first pool.
-func (j *JobsDeployment) Configure(more ...string) error {
+// Configure writes the next configuration. It has a queue for each pool, and extra queues that
+// run on the first pool.
+func (j *JobsDeployment) Configure(extra ...string) error {
 	j.version += 3
 	pools := slices.Sorted(maps.Keys(j.Workers))
 	var queues []fleet.Queue
 	for _, p := range pools {
 		queues = append(queues, fleet.Queue{Name: p, Pool: p})
 	}
-	for _, q := range more {
+	for _, q := range extra {
 		queues = append(queues, fleet.Queue{Name: q, Pool: pools[0]})
 	}
 	c := fleet.Config{Version: j.version, Pools: pools, Queues: queues}
 	if j.KeysWithin > 0 {
-		c.Teams = []fleet.Team{{Name: "team", Keys: []string{permanentKey, KeyForQueues(more...)}, Weight: 100, Cap: fleet.Capacity{CPU: j.teamCap()}}}
+		c.Teams = []fleet.Team{{Name: "team", Keys: []string{permanentKey, KeyForQueues(extra...)}, Weight: 100, Cap: fleet.Capacity{CPU: j.teamCap()}}}
 	}
 	return j.Fleet.Configure(c)
 }
 
-// teamCap is what the team may have running, in thousandths of a core: six tenths of all.
+// teamCap is the team's cap on running tasks, in millicores: six tenths of all workers.
 func (j *JobsDeployment) teamCap() int64 {
 	n := 0
 	for _, w := range j.Workers {
@@ -123,11 +123,10 @@
 	return machineSize.CPU * int64(n) * 6 / 10
 }
 
-// permanentKey is the key of all callers, which stays; KeyWith returns the one that a
-// configuration with the queues has besides.
+// permanentKey is the key that callers use. It is in every configuration.
 const permanentKey = "key-that-stays"
 
-// KeyForQueues returns the key that only the configuration with these queues besides has.
+// KeyForQueues returns the key that only the configuration with these extra queues has.
 func KeyForQueues(queues ...string) string {
 	return "key-" + strings.Join(queues, "-")
 }
@@ -163,16 +162,16 @@
 	return e, nil
 }
 
-// Entry returns an entry host, also while hosts are replaced.
+// Entry returns entry host i. Unlike Entries, it may be used while hosts are replaced.
 func (j *JobsDeployment) Entry(i int) *JobsEntry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.Entries[i]
 }
 
-// Replace takes an entry host away for good and starts another, of another name and
-// with other addresses, in its place. One that hangs is stopped with its connections
-// open, as those of a machine without power.
+// Replace removes an entry host for good and starts another one, with another name and other
+// addresses, in its place. If it hangs, its process is frozen with its connections open, like
+// those of a machine without power; otherwise it is killed.
 func (j *JobsDeployment) Replace(e *JobsEntry, hangs bool) (*JobsEntry, error) {
 	if hangs {
 		_ = e.Signal(syscall.SIGSTOP)
@@ -214,7 +213,7 @@
 	return nil
 }
 
-// Stop ends everything.
+// Stop kills all entry hosts and closes the stand-ins.
 func (j *JobsDeployment) Stop() {
 	for _, e := range append(j.removed, j.Entries...) {
 		e.Kill()
@@ -241,7 +240,7 @@
 	return nil
 }
 
-// Logs returns the lines of all entry hosts' logs that hold the text.
+// Logs returns the lines that contain the text, from the logs of all present entry hosts.
 func (j *JobsDeployment) Logs(text string) []string {
 	var l []string
 	for _, e := range j.Entries {
--- a/internal/local/keepalive.go
+++ b/internal/local/keepalive.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// KeepAliveConn is a connection to an entry host that its caller keeps open. Unlike a client's, it is
-// used whatever the host has done with it meanwhile, as by a caller whose request and the
-// host's close cross each other.
+// KeepAliveConn is a caller's keep-alive connection to an entry host. Unlike the connections of
+// http.Client, it is used even if the host has closed it in the meantime, which tests a request
+// that is sent just as the host closes the connection.
 type KeepAliveConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// Answer is one that was read to its end.
+// Answer is an answer with its whole body.
 type Answer struct {
 	Status int
 	Body   string
-	// Closes says that the host closes the connection.
+	// Closes reports whether the host closes the connection after this answer.
 	Closes bool
 }
 
-// DialKeepAlive opens a connection that is used until a time.
-func DialKeepAlive(at netip.AddrPort, until time.Time) (*KeepAliveConn, error) {
-	c, err := net.Dial("tcp", at.String())
+// DialKeepAlive opens a connection that can be used until the deadline.
+func DialKeepAlive(addr netip.AddrPort, deadline time.Time) (*KeepAliveConn, error) {
+	c, err := net.Dial("tcp", addr.String())
 	if err != nil {
 		return nil, err
 	}
-	return &KeepAliveConn{Conn: c, reader: bufio.NewReader(c)}, c.SetDeadline(until)
+	return &KeepAliveConn{Conn: c, reader: bufio.NewReader(c)}, c.SetDeadline(deadline)
 }
 
-// RoundTrip sends a request, given as it goes over the connection, and reads the answer.
+// RoundTrip sends a request, which is given in its wire format, and reads the answer.
 func (k *KeepAliveConn) RoundTrip(request string) (Answer, error) {
 	if _, err := fmt.Fprint(k, request); err != nil {
 		return Answer{}, err
--- a/internal/local/process.go
+++ b/internal/local/process.go
@@ -21,7 +21,7 @@
 	"amberway/internal/loopback"
 )
 
-// Process is one running process.
+// Process is a process that this one has started.
 type Process struct {
 	Name string
 	Cmd  *exec.Cmd
@@ -29,7 +29,7 @@
 	done chan struct{}
 }
 
-// Build builds the programs into a directory below dir.
+// Build builds the programs into a directory below dir and returns that directory.
 func Build(ctx context.Context, dir string) (string, error) {
 	root, err := moduleRoot()
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// spawn starts a program that logs to a file of its name in dir.
+// spawn starts a program whose output goes to the file NAME.log in dir.
 func spawn(dir, program, name string, args []string) (*Process, error) {
 	f, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -83,12 +83,11 @@
 	return p, nil
 }
 
-// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error {
 	return p.Cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	if p == nil || p.Cmd == nil || p.Cmd.Process == nil {
 		return
@@ -98,16 +97,17 @@
 	_ = p.log.Close()
 }
 
-// Wait waits for the end of the process and returns its exit code.
+// Wait waits for the end of the process, for d at most, and returns its exit code.
 func (p *Process) Wait(d time.Duration) (int, error) {
 	select {
 	case <-p.done:
 		return p.Cmd.ProcessState.ExitCode(), nil
 	case <-time.After(d):
-		return 0, fmt.Errorf("%s still runs after %s", p.Name, d)
+		return 0, fmt.Errorf("%s is still running after %s", p.Name, d)
 	}
 }
 
+// callJSON sends a JSON body and decodes the JSON answer into v, unless that is nil.
 func callJSON(method, u string, body, v any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -136,22 +136,23 @@
 	return json.Unmarshal(out, v)
 }
 
+// waitFor calls f until it returns no error, for d at most, and returns its last error.
 func waitFor(d time.Duration, f func() error) error {
-	end := time.Now().Add(d)
+	deadline := time.Now().Add(d)
 	for {
 		err := f()
 		if err == nil {
 			return nil
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// Ports are taken from below those that the kernel gives to outgoing
-// connections, so that none is lost between its choice and its use.
+// Ports are chosen from below the kernel's ephemeral range, so that no outgoing connection
+// takes one between its choice and its use.
 const (
 	firstPort = 20000
 	portRange = 12000
@@ -159,11 +160,11 @@
 
 var nextPort atomic.Int64
 
-// listenAddr is where all processes that this one starts listen.
+// listenAddr is the address on which all processes that this one starts listen.
 var listenAddr = loopback.RandomAddr()
 
-// freePort returns a loopback address that nothing listened on a moment ago
-// and that this process has not returned before.
+// freePort returns an address and port on which nothing listens at the moment and which this
+// process has not returned before.
 func freePort() (netip.AddrPort, error) {
 	for range portRange {
 		n := firstPort + nextPort.Add(1)%portRange
@@ -174,5 +175,5 @@
 		}
 		return a, l.Close()
 	}
-	return netip.AddrPort{}, errors.New("no port is free")
+	return netip.AddrPort{}, errors.New("no free port")
 }
--- a/internal/local/usage.go
+++ b/internal/local/usage.go
@@ -8,21 +8,20 @@
 	"time"
 )
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// CPU is processor time.
-	CPU time.Duration
-	// ResidentBytes is resident memory in bytes.
+	// CPU is the CPU time, user and system.
+	CPU           time.Duration
 	ResidentBytes int64
-	// IOBytes is bytes read and written, which for a daemon without files are
-	// those of its connections.
+	// IOBytes is how many bytes were read and written. For a daemon that uses no files they
+	// are those of its connections.
 	IOBytes int64
 }
 
-// clockTicks is the kernel's unit of processor time in /proc.
+// clockTicks is how many units of CPU time in /proc make a second.
 const clockTicks = 100
 
-// Usage reads what the process has used so far.
+// Usage reads the usage of the process so far.
 func (p *Process) Usage() (Usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", p.Cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "stat")
@@ -38,7 +37,7 @@
 	return u, nil
 }
 
-// procField returns the number behind a name in a file of /proc.
+// procField returns the number after a name in a file of /proc, or zero if there is none.
 func procField(file, name string) int64 {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,4 +1,5 @@
-// Package loopback gives the tests of one process addresses that others do not use.
+// Package loopback provides loopback addresses for tests that run in parallel with tests of
+// other processes.
 package loopback
 
 import (
@@ -6,9 +7,9 @@
 	"net/netip"
 )
 
-// RandomAddr returns an address of this machine on which no server of another process is
-// expected to listen. On a shared one another process may take a port as soon as the one
-// that had it has ended, while callers still go on using it or it is to start again.
+// RandomAddr returns a random address from 127.0.0.0/8, on which no server of another process
+// is expected to listen. On a common address, another process could take the port of a server
+// that has stopped, while callers still use it or before the server is started again.
 func RandomAddr() netip.Addr {
 	n := rand.Uint32()
 	return netip.AddrFrom4([4]byte{127, byte(n>>16) | 1, byte(n >> 8), byte(n) | 1})
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -80,12 +80,12 @@
 }
 
 // NewLink returns a healthy link to the address.
-func NewLink(upstream string) (*Link, error) {
+func NewLink(address string) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, upstream: upstream, stateChanged: make(chan struct{}), conns: map[*proxiedConn]bool{}}
+	k := &Link{listener: l, upstream: address, stateChanged: make(chan struct{}), conns: map[*proxiedConn]bool{}}
 	go k.accept()
 	return k, nil
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -54,9 +54,9 @@
 	busy      map[string]bool
 	waveCount int64
 	// refusedJobs are ids of jobs that every answer refused.
-	refusedJobs   []string
-	counts        map[string]int
-	violations    []string
+	refusedJobs []string
+	counts      map[string]int
+	violations  []string
 }
 
 // Report is the result of a run.
