--- a/internal/local/deployment.go
+++ b/internal/local/deployment.go
@@ -1,5 +1,5 @@
 // Package local runs a whole deployment as processes on this machine, for
-// tests, demos and measurements.
+// tests, demos and measurements. The daemon itself starts no processes.
 package local
 
 import (
--- a/tests/crash_test.go
+++ b/tests/crash_test.go
@@ -12,19 +12,19 @@
 	"amberway/internal/standin/fleet"
 )
 
-// maxCrashes is how many workers one task may bring down: the users bear two starts
-// after three crashes.
+// maxCrashes is how many workers one task may crash: users accept two more starts after three
+// crashes.
 const maxCrashes = 5
 
-// failed is what callers get for a job that was given up.
+// failed is the answer for a job that has failed.
 const failed = `200 {"state":"failed"}`
 
-// crashingJob has one task, which crashes each worker that starts it.
+// crashingJob returns a job with one task, which crashes each worker that starts it.
 func crashingJob() fleet.Job {
 	return fleet.Job{Spec: "crashes 1s", Steps: []fleet.Step{{Count: 1, CPU: 500, MemMB: 10, EstimateMs: 200}}}
 }
 
-// submit hands a job in to the pool blue.
+// submit submits a job to the queue blue.
 func submit(t *testing.T, j *local.JobsDeployment, id string, job fleet.Job) {
 	t.Helper()
 	code, body, err := j.Entries[0].Call(http.MethodPost, "blue", id, job)
@@ -32,8 +32,8 @@
 	require.Equal(t, http.StatusOK, code, body)
 }
 
-// TestTaskThatCrashesWorkersFailsOnlyItsJob hands in a job that crashes its
-// workers beside sound ones, and ends the owner at different moments on the way.
+// TestTaskThatCrashesWorkersFailsOnlyItsJob submits a job that crashes its workers next to
+// healthy jobs, and kills the owner up to two times while workers crash.
 func TestTaskThatCrashesWorkersFailsOnlyItsJob(t *testing.T) {
 	for kills := range 3 {
 		t.Run(fmt.Sprint(kills, " owners killed"), func(t *testing.T) {
--- a/tests/deployment_test.go
+++ b/tests/deployment_test.go
@@ -1,5 +1,5 @@
-// Package tests runs whole deployments as processes and brings about kills,
-// freezes, outages and cuts.
+// Package tests runs whole deployments as processes and tests them under kills, freezes,
+// outages and network partitions.
 package tests
 
 import (
@@ -19,7 +19,7 @@
 
 var binaries string
 
-// How long tests wait for what has to come, and how often they look.
+// How long tests wait for a condition, and how often they check it.
 const (
 	waitTimeout  = 5 * time.Second
 	pollInterval = 50 * time.Millisecond
@@ -44,8 +44,9 @@
 	return m.Run()
 }
 
-// startDeployment runs two data centres with two entry hosts and three targets each, one
-// to a rack, with one pool that needs one host available in each.
+// startDeployment starts two data centres with two entry hosts and three targets each, every
+// target in a rack of its own. There is one pool, which needs one available host in each data
+// centre.
 func startDeployment(t *testing.T) *local.Deployment {
 	t.Helper()
 	ctx := t.Context()
@@ -72,7 +73,7 @@
 	return h.State == fleet.InService
 }
 
-// load is a load of both classes and of requests that may not be repeated.
+// load returns a load with requests of both classes and with requests that may not be repeated.
 func load(d *local.Deployment, count int) standin.Load {
 	return standin.Load{
 		Entries: d.URLs(),
@@ -86,8 +87,8 @@
 	}
 }
 
-// requireConsistentRuns requires that no request that may not be repeated ran twice, and
-// that what each of their callers heard is what became of it.
+// requireConsistentRuns requires that no request that may not be repeated ran twice, and that
+// the verdict that its caller got is true.
 func requireConsistentRuns(t *testing.T, d *local.Deployment, s standin.LoadReport) {
 	t.Helper()
 	runs, err := d.RunsByID()
--- a/tests/failure_test.go
+++ b/tests/failure_test.go
@@ -42,7 +42,7 @@
 	d := startDeployment(t)
 	s := runLoadDuring(t, d, 400, func() { d.Entries[1].Kill() })
 	requireConsistentRuns(t, d, s)
-	// The balancer of the stand-in gives up on a request whose connection broke.
+	// The stand-in for callers does not retry a request whose connection broke.
 	require.Less(t, s.Lost, 20, "%+v", s)
 	require.Zero(t, s.Late)
 }
@@ -61,9 +61,9 @@
 	requireState(t, d, frozen.Name, peers.Alive, 20*time.Second)
 }
 
-// TestFrozenShardOwnerBlocksNoClaim freezes one entry host and sends requests
-// that may not be repeated through the others before anybody has noticed. Each
-// entry host serves some of the shards.
+// TestFrozenShardOwnerBlocksNoClaim freezes one entry host and sends requests that may not be
+// repeated through the others before these have noticed. Each entry host owns some of the
+// shards in which the requests are claimed.
 func TestFrozenShardOwnerBlocksNoClaim(t *testing.T) {
 	d := startDeployment(t)
 	frozen := d.Entries[1]
@@ -80,9 +80,8 @@
 	d.Entries = append(d.Entries, frozen)
 }
 
-// requireState requires that every entry host comes to hold the member to be in
-// the state.
-func requireState(t *testing.T, d *local.Deployment, name string, want peers.State, within time.Duration) {
+// requireState requires that every entry host sees the member in the state before the timeout.
+func requireState(t *testing.T, d *local.Deployment, name string, want peers.State, timeout time.Duration) {
 	t.Helper()
 	start := time.Now()
 	require.Eventually(t, func() bool {
@@ -93,7 +92,7 @@
 			}
 		}
 		return true
-	}, within, 50*time.Millisecond)
+	}, timeout, 50*time.Millisecond)
 	t.Logf("%s is %s everywhere after %s", name, want, time.Since(start).Round(time.Millisecond))
 }
 
@@ -127,7 +126,7 @@
 	res := post(t, d.Entries[0], "/tint/once", "x", key.Clone())
 	require.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
 	require.NotEmpty(t, res.Header.Get("Retry-After"))
-	require.Less(t, time.Since(start), 4*time.Second, "a request that is given up on is answered at once")
+	require.Less(t, time.Since(start), 4*time.Second, "an abandoned request is answered immediately")
 	requireIssuedIDRunsOnce(t, d)
 
 	before, err := d.Stats()
@@ -139,10 +138,10 @@
 	}, 10*time.Second, 100*time.Millisecond)
 	requireConsistentRuns(t, d, s)
 	res = post(t, d.Entries[1], "/tint/once", "x", key.Clone())
-	require.Equal(t, "ran", res.Header.Get(common.HeaderVerdict), "the caller who came back with the same id")
+	require.Equal(t, "ran", res.Header.Get(common.HeaderVerdict), "the caller retried with the same id")
 	after, err := d.Stats()
 	require.NoError(t, err)
-	require.Less(t, after.Reads-before.Reads, int64(400), "a storm of reads after the outage")
+	require.Less(t, after.Reads-before.Reads, int64(400), "too many reads after the outage")
 }
 
 func TestEntryHostStartedDuringOutageServes(t *testing.T) {
@@ -201,9 +200,9 @@
 		require.Equal(t, 1, got["ran"], "%v", got)
 		require.Zero(t, got["not-run"], "%v", got)
 	}
-	doubled, err := d.DuplicateRuns()
+	duplicates, err := d.DuplicateRuns()
 	require.NoError(t, err)
-	require.Empty(t, doubled)
+	require.Empty(t, duplicates)
 }
 
 func TestFailingTargetFailsFewRequests(t *testing.T) {
--- a/tests/jobs_cancel_test.go
+++ b/tests/jobs_cancel_test.go
@@ -11,7 +11,7 @@
 	"amberway/internal/standin/fleet"
 )
 
-// otherEntries are the entry hosts beside one.
+// otherEntries returns the entry hosts except one.
 func otherEntries(j *local.JobsDeployment, o *local.JobsEntry) []*local.JobsEntry {
 	var l []*local.JobsEntry
 	for _, e := range j.Entries {
@@ -22,8 +22,8 @@
 	return l
 }
 
-// The owner is gone for good when the job is cancelled: the next one, which never
-// started a task of it, ends the runs.
+// TestRunsOfRemovedOwnerEndWhenTheirJobIsCancelled cancels a job whose owner is gone for good.
+// The next owner, which has started none of the job's tasks, has to stop the runs.
 func TestRunsOfRemovedOwnerEndWhenTheirJobIsCancelled(t *testing.T) {
 	j := startJobs(t)
 	long := fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: 6, CPU: 500, MemMB: 10, Daemon: true}}}
@@ -33,10 +33,10 @@
 	o := j.Owner()
 	require.NotNil(t, o)
 	o.Kill()
-	left := otherEntries(j, o)
-	code, _, err := left[0].Call(http.MethodDelete, "blue", jobID(1), nil)
+	others := otherEntries(j, o)
+	code, _, err := others[0].Call(http.MethodDelete, "blue", jobID(1), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, code)
-	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() == 0 }, 3900*time.Millisecond, pollInterval, "their leases would lapse after four seconds")
-	require.Equal(t, `200 {"state":"cancelled"}`, jobState(t, left[1], "blue", jobID(1)))
+	require.Eventually(t, func() bool { return j.Fleet.Checker.RunningCount() == 0 }, 3900*time.Millisecond, pollInterval, "their leases expire only after four seconds")
+	require.Equal(t, `200 {"state":"cancelled"}`, jobState(t, others[1], "blue", jobID(1)))
 }
--- a/tests/jobs_test.go
+++ b/tests/jobs_test.go
@@ -16,13 +16,13 @@
 	"amberway/internal/standin/fleet"
 )
 
-// startJobs runs three entry hosts and two pools.
+// startJobs starts three entry hosts and two pools.
 func startJobs(t *testing.T) *local.JobsDeployment {
 	t.Helper()
 	return startJobsOn(t, 4)
 }
 
-// startJobsOn starts a deployment with so many workers in the pool blue.
+// startJobsOn is startJobs with a given number of workers in the pool blue.
 func startJobsOn(t *testing.T, blue int) *local.JobsDeployment {
 	t.Helper()
 	j, err := local.StartJobsDeployment(binaries, t.TempDir(), local.JobsOptions{
@@ -56,8 +56,8 @@
 
 const succeeded = `200 {"state":"succeeded"}`
 
-// jobTimeout is how long tests wait for jobs: a change of owner takes two
-// seconds, and a silent worker's lease four.
+// jobTimeout is how long tests wait for jobs. For comparison, a change of owner takes two
+// seconds, and a silent worker's lease expires after four.
 const jobTimeout = 25 * time.Second
 
 func TestJobStateIsTheSameOnEveryEntryHost(t *testing.T) {
@@ -70,7 +70,7 @@
 	}
 	code, _, err = j.Entries[1].Call(http.MethodPost, "blue", jobID(1), shortJob("100ms"))
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, code, "a copy of an id is the same job")
+	require.Equal(t, http.StatusOK, code, "a second submission of an id is the same job")
 	require.Equal(t, succeeded, jobState(t, j.Entries[2], "blue", jobID(1)))
 	require.Equal(t, 5, j.Fleet.Checker.StartCount())
 }
@@ -83,15 +83,15 @@
 		body              any
 		code              int
 	}{
-		"no such queue":  {http.MethodPost, "violet", jobID(1), shortJob("1ms"), http.StatusNotFound},
-		"no such job":    {http.MethodGet, "blue", jobID(2), nil, http.StatusGone},
-		"nothing to end": {http.MethodDelete, "blue", jobID(2), nil, http.StatusGone},
-		"no id":          {http.MethodPost, "blue", "xyz", shortJob("1ms"), http.StatusNotFound},
-		"no steps":       {http.MethodPost, "blue", jobID(3), fleet.Job{Spec: "1ms"}, http.StatusBadRequest},
-		"no job":         {http.MethodPost, "blue", jobID(3), "text", http.StatusBadRequest},
-		"too large":      {http.MethodPost, "blue", jobID(3), shortJob(fmt.Sprintf("%70000d", 1)), http.StatusRequestEntityTooLarge},
-		"long spec":      {http.MethodPost, "blue", jobID(3), shortJob(fmt.Sprintf("%4001d", 1)), http.StatusBadRequest},
-		"other method":   {http.MethodPut, "blue", jobID(3), nil, http.StatusMethodNotAllowed},
+		"no such queue":     {http.MethodPost, "violet", jobID(1), shortJob("1ms"), http.StatusNotFound},
+		"no such job":       {http.MethodGet, "blue", jobID(2), nil, http.StatusGone},
+		"nothing to cancel": {http.MethodDelete, "blue", jobID(2), nil, http.StatusGone},
+		"no id":             {http.MethodPost, "blue", "xyz", shortJob("1ms"), http.StatusNotFound},
+		"no steps":          {http.MethodPost, "blue", jobID(3), fleet.Job{Spec: "1ms"}, http.StatusBadRequest},
+		"no job":            {http.MethodPost, "blue", jobID(3), "text", http.StatusBadRequest},
+		"too large":         {http.MethodPost, "blue", jobID(3), shortJob(fmt.Sprintf("%70000d", 1)), http.StatusRequestEntityTooLarge},
+		"long spec":         {http.MethodPost, "blue", jobID(3), shortJob(fmt.Sprintf("%4001d", 1)), http.StatusBadRequest},
+		"other method":      {http.MethodPut, "blue", jobID(3), nil, http.StatusMethodNotAllowed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, body, err := e.Call(c.method, c.queue, c.id, c.body)
@@ -103,7 +103,7 @@
 
 func TestKilledOwnerLosesAndDuplicatesNoJob(t *testing.T) {
 	j := startJobs(t)
-	hand := func(from, to int) {
+	submitJobs := func(from, to int) {
 		for n := from; n < to; n++ {
 			e := j.Entries[n%3]
 			if e == nil || e.Cmd.ProcessState != nil {
@@ -114,14 +114,14 @@
 			require.Equal(t, http.StatusOK, code, body)
 		}
 	}
-	hand(0, 10)
+	submitJobs(0, 10)
 	time.Sleep(200 * time.Millisecond)
 	o := j.Owner()
 	require.NotNil(t, o)
 	o.Kill()
 	require.NoError(t, j.Launch(o))
 	require.Eventually(t, o.Ready, jobTimeout, pollInterval)
-	hand(10, 15)
+	submitJobs(10, 15)
 	for n := range 15 {
 		require.Eventually(t, func() bool { return jobState(t, j.Entries[n%3], "blue", jobID(n)) == succeeded }, jobTimeout, pollInterval, "job %d", n)
 	}
@@ -158,11 +158,11 @@
 func TestStoreRefusalIsReportedImmediately(t *testing.T) {
 	j := startJobs(t)
 	j.Fleet.Store.SetFault(fleet.StoreFault{Refuse: true})
-	begun := time.Now()
+	start := time.Now()
 	code, body, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, code, body)
-	require.Less(t, time.Since(begun), time.Second)
+	require.Less(t, time.Since(start), time.Second)
 	j.Fleet.Store.SetFault(fleet.StoreFault{})
 	time.Sleep(2 * time.Second)
 	require.Zero(t, j.Fleet.Checker.StartCount(), "a refused job has run")
@@ -174,7 +174,7 @@
 	j.Fleet.Store.SetFault(fleet.StoreFault{LoseAnswers: true})
 	code, _, err := j.Entries[0].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
-	require.Equal(t, http.StatusGatewayTimeout, code, "whether it was taken cannot be known")
+	require.Equal(t, http.StatusGatewayTimeout, code, "it cannot be known whether the job was accepted")
 	j.Fleet.Store.SetFault(fleet.StoreFault{})
 	code, _, err = j.Entries[1].Call(http.MethodPost, "blue", jobID(1), shortJob("1ms"))
 	require.NoError(t, err)
@@ -255,9 +255,8 @@
 	require.Eventually(t, func() bool { return jobState(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
 }
 
-// TestOwnerThatLostItsKeyStartsNoLaterJob takes the owner's key
-// away while its lease, its watches and its way to the workers are good, as the
-// platform does now and then.
+// TestOwnerThatLostItsKeyStartsNoLaterJob deletes the owner's key from the store while its
+// lease, its watches and its connections to the workers work, as the platform sometimes does.
 func TestOwnerThatLostItsKeyStartsNoLaterJob(t *testing.T) {
 	j := startJobs(t)
 	n := 0
--- a/tests/operations_test.go
+++ b/tests/operations_test.go
@@ -14,7 +14,8 @@
 	"amberway/internal/standin/fleet"
 )
 
-// TestOperationsPageNamesEveryLogLine compares the page with the code.
+// TestOperationsPageNamesEveryLogLine checks that docs/OPERATIONS.md names every log line and
+// metric of the code.
 func TestOperationsPageNamesEveryLogLine(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -42,7 +43,7 @@
 	require.Greater(t, found, 40)
 }
 
-// The three tests below follow the page's way from a job's id to the cause.
+// The three tests below follow the steps of that page from a job's id to the cause.
 
 func TestCauseOfARefusedJobIsFoundFromItsID(t *testing.T) {
 	j := startJobs(t)
@@ -66,10 +67,10 @@
 	worker := j.Fleet.Silence(8 * time.Second)
 	require.NotEmpty(t, worker)
 	require.Eventually(t, func() bool { return jobState(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
-	story := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
-	require.Equal(t, 2, strings.Count(story, `"msg":"start"`), story)
-	require.Contains(t, story, `"msg":"run gone"`)
-	require.Contains(t, story, worker)
+	lines := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
+	require.Equal(t, 2, strings.Count(lines, `"msg":"start"`), lines)
+	require.Contains(t, lines, `"msg":"run gone"`)
+	require.Contains(t, lines, worker)
 	require.Contains(t, strings.Join(j.Logs(`"worker":"`+worker+`"`), "\n"), `"msg":"worker silent"`)
 }
 
@@ -80,8 +81,8 @@
 	})
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return jobState(t, j.Entries[1], "blue", jobID(1)) == `200 {"state":"failed"}` }, jobTimeout, pollInterval)
-	story := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
-	require.Contains(t, story, `"msg":"job failed"`)
-	require.Contains(t, story, jobID(1)+".0.0.0 has failed as often as its queue allows")
-	require.Equal(t, 3, strings.Count(story, `"why":"failed"`), story)
+	lines := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
+	require.Contains(t, lines, `"msg":"job failed"`)
+	require.Contains(t, lines, jobID(1)+".0.0.0 has failed as often as its queue allows")
+	require.Equal(t, 3, strings.Count(lines, `"why":"failed"`), lines)
 }
--- a/tests/operator_test.go
+++ b/tests/operator_test.go
@@ -18,8 +18,8 @@
 	"amberway/internal/local"
 )
 
-// runCtl runs amberwayctl against the entry host and returns its exit code and
-// what it printed.
+// runCtl runs amberwayctl against the entry host and returns its exit code, its output and
+// its error output.
 func runCtl(t *testing.T, e *local.Entry, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, f bytes.Buffer
@@ -31,7 +31,7 @@
 	return c.ProcessState.ExitCode(), o.String(), f.String()
 }
 
-// writeDocument writes a document and returns its name.
+// writeDocument writes a document to a file and returns the file's name.
 func writeDocument(t *testing.T, doc []byte) string {
 	t.Helper()
 	n := filepath.Join(t.TempDir(), "fleet.yaml")
@@ -50,7 +50,7 @@
 	for _, v := range d.Entries {
 		c, err := v.Client().Config(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, int64(2), c.Generation, "--wait came back too early for %s", v.Name)
+		require.Equal(t, int64(2), c.Generation, "--wait returned before %s had the configuration", v.Name)
 	}
 	code, _, errs = runCtl(t, e, "config", "apply", "--base", "1", writeDocument(t, document(d, 2)))
 	require.Equal(t, 3, code)
@@ -75,7 +75,7 @@
 		require.Eventually(t, func() bool {
 			_, out, _ := runCtl(t, v, "host")
 			return strings.Contains(out, "the budget of pool tint does not allow it")
-		}, waitTimeout, pollInterval, "%s tells what the host waits for", v.Name)
+		}, waitTimeout, pollInterval, "%s shows why the host is not drained", v.Name)
 	}
 	code, out, _ = runCtl(t, e, "config", "plan", writeDocument(t, document(d, 1)))
 	require.Zero(t, code)
@@ -103,7 +103,7 @@
 	winner := -1
 	for n, v := range won {
 		if v != 0 {
-			require.Equal(t, -1, winner, "two operators were told that they won")
+			require.Equal(t, -1, winner, "the configurations of two operators were accepted")
 			winner = n
 		}
 	}
--- a/tests/pause_test.go
+++ b/tests/pause_test.go
@@ -13,9 +13,9 @@
 	"amberway/internal/standin"
 )
 
-// TestPausedEntryHostDoesNotActOnStaleState freezes an entry host while a
-// request that may not be repeated waits for its claim, lets its deadline pass,
-// and has a copy run elsewhere.
+// TestPausedEntryHostDoesNotActOnStaleState freezes an entry host while a request that may not
+// be repeated waits for its claim, and resumes it after the deadline, when a copy of the request
+// has been sent through another entry host.
 func TestPausedEntryHostDoesNotActOnStaleState(t *testing.T) {
 	d := startDeployment(t)
 	require.NoError(t, d.SetPlatformFault(standin.All, standin.Fault{DelayMs: 1500}))
@@ -33,13 +33,13 @@
 	h.Del(common.HeaderDeadline)
 	second := post(t, d.Entries[2], "/tint/once", "x", h)
 	require.NoError(t, d.Entries[0].Signal(syscall.SIGCONT))
-	heard := []string{<-first, second.Header.Get(common.HeaderVerdict)}
+	verdicts := []string{<-first, second.Header.Get(common.HeaderVerdict)}
 	runs, err := d.RunsByID()
 	require.NoError(t, err)
-	t.Logf("heard %v, ran %d times", heard, runs[id])
+	t.Logf("verdicts %v, ran %d times", verdicts, runs[id])
 	require.LessOrEqual(t, runs[id], 1)
 	if runs[id] == 1 {
-		require.NotContains(t, heard, "not-run")
+		require.NotContains(t, verdicts, "not-run")
 	}
-	require.NotEqual(t, "ran", heard[0], "its deadline had passed")
+	require.NotEqual(t, "ran", verdicts[0], "its deadline had passed")
 }
--- a/tests/removal_test.go
+++ b/tests/removal_test.go
@@ -13,12 +13,12 @@
 	"amberway/internal/standin/fleet"
 )
 
-// lastingJob has tasks that run until they are cancelled.
+// lastingJob returns a job whose tasks run until it is cancelled.
 func lastingJob() fleet.Job {
 	return fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: lastingTasks, CPU: 500, MemMB: 10, Daemon: true}}}
 }
 
-// lastingTasks is how many tasks the lasting job of a test has.
+// lastingTasks is the number of tasks of a lastingJob.
 const lastingTasks = 4
 
 // allRun reports whether all tasks of a lasting job run.
@@ -31,21 +31,21 @@
 	return true
 }
 
-// Times of the next owner's way to the tasks of a removed host.
+// Times of the restart of a removed host's tasks by the next owner.
 const (
-	// ownerKillDelay is how long after a host was removed its owner is killed: it
-	// has not given up the host's lease by then.
+	// ownerKillDelay is the time between the removal of a host and the kill of the owner,
+	// which still waits for the host's lease to expire then.
 	ownerKillDelay = time.Second
-	// restartTimeout is how long after the kill lasting tasks have to be at work
-	// again: the owner's lease ends after 1.5 s, the next one takes over within
-	// half a second, and the last lease that a worker got before the kill is over
-	// 4.2 s after it on a slow clock. The rest is slack.
+	// restartTimeout is how long after the kill all lasting tasks have to run again: the
+	// owner's lease expires after 1.5 s, the next owner takes over within half a second, and
+	// the last lease that a worker got before the kill expires 4.2 s after the kill on a slow
+	// clock. The rest is slack.
 	restartTimeout = 8 * time.Second
 )
 
-// TestLastingTasksOfARemovedHostAreRestartedByTheNextOwner takes a host with
-// lasting tasks away for good, with its record and its line in the list of
-// machines, and kills the owner before that has given the host's lease up.
+// TestLastingTasksOfARemovedHostAreRestartedByTheNextOwner removes a host with lasting tasks
+// for good, together with its record and its entry in the list of machines, and kills the owner
+// before the host's lease has expired.
 func TestLastingTasksOfARemovedHostAreRestartedByTheNextOwner(t *testing.T) {
 	for name, r := range map[string]fleet.Removal{
 		"connections are refused": {},
@@ -63,26 +63,27 @@
 			require.NoError(t, j.Fleet.Remove(id, r))
 			require.False(t, allRun(j, jobID(1)))
 			time.Sleep(ownerKillDelay)
-			require.False(t, allRun(j, jobID(1)), "the next owner is to start them")
+			require.False(t, allRun(j, jobID(1)), "the next owner has to restart them, not this one")
 			o := j.Owner()
 			require.NotNil(t, o)
 			o.Kill()
-			begun := time.Now()
+			killed := time.Now()
 			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobTimeout, pollInterval)
-			took := time.Since(begun)
-			t.Logf("at work %s after the owner's kill", took.Round(time.Millisecond))
+			took := time.Since(killed)
+			t.Logf("all tasks run %s after the owner was killed", took.Round(time.Millisecond))
 			require.Less(t, took, restartTimeout)
 		})
 	}
 }
 
-// rosterShards is in how many parts the store holds what an owner tells the next.
+// rosterShards is the number of shards of the roster of workers that an owner stores for its
+// successor.
 const rosterShards = 64
 
-// inRoster reports whether the store tells the next owner of the worker.
+// inRoster reports whether the worker is in the stored roster.
 func inRoster(j *local.JobsDeployment, id string) bool {
-	for part := range rosterShards {
-		b, _ := j.Fleet.Store.Value(fmt.Sprintf("owner/workers/%02d", part))
+	for shard := range rosterShards {
+		b, _ := j.Fleet.Store.Value(fmt.Sprintf("owner/workers/%02d", shard))
 		if id != "" && strings.Contains(string(b), id) {
 			return true
 		}
--- a/tests/request_test.go
+++ b/tests/request_test.go
@@ -19,8 +19,8 @@
 	"amberway/platform"
 )
 
-// sendCopies sends the same request that may not be repeated twice through each
-// entry host at once, and counts the verdicts.
+// sendCopies sends copies of one request that may not be repeated, two through each entry host
+// and all at the same time, and counts the verdicts.
 func sendCopies(t *testing.T, d *local.Deployment, body string) map[string]int {
 	id := uuid.Must(uuid.NewV7()).String()
 	got := map[string]int{}
@@ -122,17 +122,17 @@
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	d := startDeployment(t)
 	leaving := d.Targets[0]
-	var told time.Time
+	var announced time.Time
 	s := runLoadDuring(t, d, 1000, func() {
 		leaving.Host.Leaving = true
 		require.NoError(t, d.SetHosts(t.Context(), []platform.Host{leaving.Host}))
-		told = time.Now()
+		announced = time.Now()
 	})
 	requireConsistentRuns(t, d, s)
 	require.Equal(t, s.Sent, s.Answered, "%+v", s)
 	r, err := leaving.Runs()
 	require.NoError(t, err)
-	require.Less(t, r.LastStart.Sub(told), 3*time.Second)
+	require.Less(t, r.LastStart.Sub(announced), 3*time.Second)
 }
 
 func TestWaveUnderLoadInterruptsNoRequest(t *testing.T) {
@@ -147,7 +147,8 @@
 	require.NoError(t, d.WaitHosts(t.Context(), 60*time.Second, 3, done))
 }
 
-// placedDocument is a document whose quick job is held by one of the pool's hosts.
+// placedDocument returns a document whose quick job needs a number of replicas, which are
+// placed on hosts of the pool.
 func placedDocument(d *local.Deployment, replicas string) []byte {
 	doc := string(document(d, 1))
 	return []byte(strings.Replace(doc, "run_time: 5ms}", "run_time: 5ms, processors: 4, replicas: "+replicas+"}", 1))
@@ -176,8 +177,9 @@
 	}, 5*time.Second, 50*time.Millisecond)
 }
 
-// waitHolder waits for one host other than the named one to hold the quick job.
-func waitHolder(t *testing.T, c *admin.Client, but string) string {
+// waitHolder waits until the quick job is placed on one host other than the given one, and
+// returns that host.
+func waitHolder(t *testing.T, c *admin.Client, other string) string {
 	t.Helper()
 	var name string
 	require.Eventually(t, func() bool {
@@ -186,7 +188,7 @@
 			return false
 		}
 		name = l[0].Hosts[0]
-		return name != but
+		return name != other
 	}, 5*time.Second, 50*time.Millisecond)
 	return name
 }
@@ -200,8 +202,8 @@
 	return nil
 }
 
-// requireIssuedIDRunsOnce requires that a request with an issued id runs, once, through
-// whichever entry host it comes.
+// requireIssuedIDRunsOnce requires that a request with an id that an entry host has issued runs
+// once if it is sent through all entry hosts.
 func requireIssuedIDRunsOnce(t *testing.T, d *local.Deployment) {
 	t.Helper()
 	res := post(t, d.Entries[0], "/ids", "", http.Header{})
--- a/tests/restart_test.go
+++ b/tests/restart_test.go
@@ -11,19 +11,19 @@
 	"amberway/internal/standin/fleet"
 )
 
-// Bounds of what a worker that starts again under its id ran before. Users take a lasting
-// task for lost that does not run six seconds after its last run.
+// Limits for the time until the tasks of a restarted worker run again. Users consider a lasting
+// task lost if it does not run six seconds after its last run.
 const (
 	lastingRestartTimeout = 6 * time.Second
 	shortRestartTimeout   = time.Second
 )
 
-// TestTasksResumeAfterWorkerRestartsUnderItsID has workers crash and start again
-// under their ids, sooner than their records lapse, at the same address or another, by
-// clocks that have gone back, and several times. The platform's list of machines and, for a
-// while, the store show nothing: what the worker says of its start is all that tells.
+// TestTasksResumeAfterWorkerRestartsUnderItsID has workers crash and restart under their ids
+// before their records expire: at the same address or another, with clocks that were set back,
+// and several times. The platform's list of machines never shows the restart, and the store
+// only later: until then, only the start time in the worker's own answers does.
 func TestTasksResumeAfterWorkerRestartsUnderItsID(t *testing.T) {
-	for name, a := range map[string]fleet.Restart{
+	for name, r := range map[string]fleet.Restart{
 		"at once":                {Times: 1},
 		"with a late record":     {Times: 1, RecordAfter: 1500 * time.Millisecond, ClockOff: -3 * time.Second},
 		"at another address":     {Times: 1, Moves: true, DownFor: 100 * time.Millisecond, RecordAfter: 200 * time.Millisecond},
@@ -34,23 +34,24 @@
 			t.Parallel()
 			j := startJobsOn(t, 1)
 			submit(t, j, jobID(1), lastingJob())
-			// The ends of before have numbers that those of the next incarnation have again.
+			// The next incarnation numbers its ended runs from the start again, so its numbers
+			// clash with those of these runs.
 			runShortJobs(t, j, 10)
 			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobTimeout, pollInterval)
-			began := time.Now()
-			require.NotEmpty(t, j.Fleet.Restart(a))
-			back := began.Add(time.Duration(a.Times) * a.DownFor)
-			require.Eventually(t, func() bool { return time.Now().After(back) && allRun(j, jobID(1)) }, time.Until(back)+lastingRestartTimeout, pollInterval)
-			t.Logf("lasting tasks run %s after the crash", time.Since(began).Round(time.Millisecond))
+			crashed := time.Now()
+			require.NotEmpty(t, j.Fleet.Restart(r))
+			restarted := crashed.Add(time.Duration(r.Times) * r.DownFor)
+			require.Eventually(t, func() bool { return time.Now().After(restarted) && allRun(j, jobID(1)) }, time.Until(restarted)+lastingRestartTimeout, pollInterval)
+			t.Logf("lasting tasks run %s after the crash", time.Since(crashed).Round(time.Millisecond))
 			runShortJobs(t, j, 20)
-			require.NotEmpty(t, j.Fleet.Restart(a))
+			require.NotEmpty(t, j.Fleet.Restart(r))
 			runShortJobs(t, j, 30)
 			require.Empty(t, j.Fleet.Checker.Violations(), "no task runs twice")
 		})
 	}
 }
 
-// runShortJobs hands in jobs, with ids from n on, and waits until they have succeeded.
+// runShortJobs submits jobs, with ids from n on, and waits until they have succeeded.
 func runShortJobs(t *testing.T, j *local.JobsDeployment, n int) {
 	t.Helper()
 	const jobs = 6
@@ -62,14 +63,15 @@
 	}
 }
 
-// TestShortTaskRestartsSoonAfterItsWorker measures it from the record.
+// TestShortTaskRestartsSoonAfterItsWorker has a worker restart at another address, with its new
+// record written at once.
 func TestShortTaskRestartsSoonAfterItsWorker(t *testing.T) {
 	j := startJobs(t)
 	submit(t, j, jobID(1), shortJob("30s"))
 	task := fmt.Sprint(jobID(1), ".0.0.0")
 	require.Eventually(t, func() bool { return j.Fleet.Checker.IsRunning(task) }, jobTimeout, pollInterval)
-	began := time.Now()
+	restarted := time.Now()
 	require.NotEmpty(t, j.Fleet.Restart(fleet.Restart{Times: 1, Moves: true}))
 	require.Eventually(t, func() bool { return j.Fleet.Checker.IsRunning(task) }, shortRestartTimeout, pollInterval)
-	t.Logf("the task runs %s after the record", time.Since(began).Round(time.Millisecond))
+	t.Logf("the task runs %s after the record", time.Since(restarted).Round(time.Millisecond))
 }
--- a/tests/silentconn_test.go
+++ b/tests/silentconn_test.go
@@ -12,8 +12,8 @@
 	"amberway/internal/soak"
 )
 
-// startJobsOverLinks runs six entry hosts that reach the platform by links, and
-// returns the links.
+// startJobsOverLinks starts six entry hosts that reach the platform over links, and returns
+// the links.
 func startJobsOverLinks(t *testing.T) (*local.JobsDeployment, []*soak.Link) {
 	t.Helper()
 	var links []*soak.Link
@@ -34,9 +34,9 @@
 	return j, links
 }
 
-// TestConfigurationIsInForceInTimeAfterConnectionsFellSilent has all open
-// connections to the platform fall silent for good and changes the configuration at
-// once, three times, so that connections that were kept idle are silent as well.
+// TestConfigurationIsInForceInTimeAfterConnectionsFellSilent silences all open connections to
+// the platform for good and immediately changes the configuration. It does so three times, so
+// that idle connections in the clients' pools are silenced as well.
 func TestConfigurationIsInForceInTimeAfterConnectionsFellSilent(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
@@ -64,17 +64,17 @@
 	}
 }
 
-// configTimeout is when a configuration has to be in force that is accepted as
-// connections fall silent: it has two seconds at entry hosts in touch, and they are
-// that once their connections have been good for three.
+// configTimeout is how long a configuration may take to be in force that is accepted just after
+// connections were silenced. Connected entry hosts have to apply it within two seconds, and they
+// count as connected once their connections have worked for three seconds.
 const configTimeout = 3 * time.Second
 
-// waitConfig returns how long after its acceptance the entry host has the
-// configuration, by whether it knows the queue violet.
-func waitConfig(t *testing.T, e *local.JobsEntry, there bool, accepted time.Time) time.Duration {
+// waitConfig waits until the entry host has the configuration, which shows by whether it knows
+// the queue violet, and returns how long after its acceptance that was.
+func waitConfig(t *testing.T, e *local.JobsEntry, hasViolet bool, accepted time.Time) time.Duration {
 	for time.Since(accepted) < waitTimeout {
 		sent := time.Since(accepted)
-		if known, ok := hasQueue(t, e); ok && known == there {
+		if known, ok := hasQueue(t, e); ok && known == hasViolet {
 			return sent
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -82,9 +82,10 @@
 	return time.Since(accepted)
 }
 
-// hasQueue reports whether the entry host knows the queue violet, if it says so. It
-// tells a queue that it does not know from an id that is none.
+// hasQueue reports whether the entry host knows the queue violet. It asks for an invalid job
+// id, which is answered with status 404 in both cases, but with a reason that differs. ok is
+// false without such an answer.
 func hasQueue(t *testing.T, e *local.JobsEntry) (known, ok bool) {
-	a := jobState(t, e, "violet", "none")
-	return !strings.Contains(a, "no such queue"), strings.HasPrefix(a, "404 ")
+	s := jobState(t, e, "violet", "none")
+	return !strings.Contains(s, "no such queue"), strings.HasPrefix(s, "404 ")
 }
--- a/tests/slots_test.go
+++ b/tests/slots_test.go
@@ -11,7 +11,8 @@
 	"amberway/internal/standin"
 )
 
-// overload is more load than two targets of eight slots can run in 50 ms each.
+// overload returns a load that is more than two targets with eight slots each can run, at 50 ms
+// a request.
 func overload(d *local.Deployment, count int) standin.Load {
 	return standin.Load{
 		Entries: d.URLs(), Count: count, Interval: 1560 * time.Microsecond,
@@ -19,20 +20,20 @@
 	}
 }
 
-// runsOverLimit returns how many runs began on targets with all slots taken, and how
-// many ran in all.
-func runsOverLimit(t *testing.T, d *local.Deployment) (beyond, all int) {
+// runsOverLimit returns how many runs were started on targets without a free slot, and how
+// many in total.
+func runsOverLimit(t *testing.T, d *local.Deployment) (over, all int) {
 	t.Helper()
 	for _, v := range d.Targets {
 		r, err := v.Runs()
 		require.NoError(t, err)
-		beyond += r.OverLimit
+		over += r.OverLimit
 		all += len(r.ByID)
 	}
-	return beyond, all
+	return over, all
 }
 
-// startSlotDeployment runs three entry hosts over two targets.
+// startSlotDeployment starts three entry hosts and two targets.
 func startSlotDeployment(t *testing.T) *local.Deployment {
 	t.Helper()
 	ctx := t.Context()
@@ -48,17 +49,16 @@
 	return d
 }
 
-// TestSlotsAreSharedWithoutBeingExceeded sends more load than the
-// targets can run through three entry
-// hosts, and then kills one of them and starts it again under load.
+// TestSlotsAreSharedWithoutBeingExceeded sends more load than the targets can run through three
+// entry hosts, and then kills one of them and restarts it under load.
 func TestSlotsAreSharedWithoutBeingExceeded(t *testing.T) {
 	ctx := t.Context()
 	d := startSlotDeployment(t)
 	s := standin.NewCaller().Run(ctx, overload(d, 2000))
-	beyond, all := runsOverLimit(t, d)
-	t.Logf("overload: %d of %d runs began beyond the slots; %d of %d in time, the longest after %s",
-		beyond, all, s.Answered, s.Sent, s.MaxLatency)
-	require.Zero(t, beyond)
+	over, all := runsOverLimit(t, d)
+	t.Logf("overload: %d of %d runs started without a free slot; %d of %d answered in time, max latency %s",
+		over, all, s.Answered, s.Sent, s.MaxLatency)
+	require.Zero(t, over)
 	require.Zero(t, s.Lost, "%+v", s)
 
 	e := d.Entries[2]
@@ -69,18 +69,17 @@
 	time.Sleep(5 * time.Second)
 	require.NoError(t, d.Launch(e))
 	s = <-c
-	beyond, more := runsOverLimit(t, d)
-	t.Logf("a kill and a start: %d of %d runs began beyond the slots", beyond, more-all)
-	require.Less(t, beyond, (more-all)/100)
+	over, allAfter := runsOverLimit(t, d)
+	t.Logf("kill and restart: %d of %d runs started without a free slot", over, allAfter-all)
+	require.Less(t, over, (allAfter-all)/100)
 
 	require.NoError(t, e.Signal(syscall.SIGTERM))
 	_, err := e.Wait(5 * time.Second)
 	require.NoError(t, err)
 }
 
-// TestPausedEntryHostKeepsItsSlotShare pauses one of three entry hosts under
-// more load than the targets can run, for longer than the others need to take
-// it for dead, and lets it go on.
+// TestPausedEntryHostKeepsItsSlotShare pauses one of three entry hosts under more load than the
+// targets can run, for longer than the others need to consider it dead, and then resumes it.
 func TestPausedEntryHostKeepsItsSlotShare(t *testing.T) {
 	d := startSlotDeployment(t)
 	e := d.Entries[2]
@@ -91,7 +90,7 @@
 	time.Sleep(5 * time.Second)
 	require.NoError(t, e.Signal(syscall.SIGCONT))
 	<-c
-	beyond, all := runsOverLimit(t, d)
-	t.Logf("a pause: %d of %d runs began beyond the slots", beyond, all)
-	require.Zero(t, beyond)
+	over, all := runsOverLimit(t, d)
+	t.Logf("pause: %d of %d runs started without a free slot", over, all)
+	require.Zero(t, over)
 }
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -11,21 +11,21 @@
 	"amberway/internal/soak"
 )
 
-// soakSeeds are the seeds that run in each check: one at large, and each that
-// ever broke a promise, with its cause.
+// soakSeeds are the seeds of every test run. Each has led to a violation before, with the given
+// cause.
 var soakSeeds = []struct {
 	seed                         uint64
 	lasts                        time.Duration
 	crashing, lasting, lateHosts bool
 	cause                        string
 }{
-	{1, 8 * time.Second, false, false, false, "a worker whose first clock is zero was taken for lapsed, in one of 16 plays"},
-	{2, 8 * time.Second, false, false, false, "a next owner waited for a host that was removed for good and started no lasting task for 10.5 s"},
-	{4000, 8 * time.Second, true, false, false, "a task that crashes its workers was started without end"},
-	{7306, 15 * time.Second, true, false, false, "a sound job was given up for the crash of a worker whose next incarnation ran it, once in two plays"},
-	{8120, 30 * time.Second, false, true, false, "a lasting run whose start was not answered was stopped at work while another of its step was away, in one play"},
-	{16001, 15 * time.Second, false, false, false, "three requests on kept connections were lost in two planned stops that closed them while their callers paused"},
-	{20000, 15 * time.Second, false, true, true, "a host was moved back by an order that came after a newer one of the same fence"},
+	{1, 8 * time.Second, false, false, false, "a worker whose first clock is zero was considered expired, in 1 of 16 runs"},
+	{2, 8 * time.Second, false, false, false, "a new owner waited for a host that had been removed for good and restarted no lasting task for 10.5 s"},
+	{4000, 8 * time.Second, true, false, false, "a task that crashes its workers was restarted forever"},
+	{7306, 15 * time.Second, true, false, false, "a healthy job failed because of the crash of a worker whose next incarnation ran it, in 1 of 2 runs"},
+	{8120, 30 * time.Second, false, true, false, "a lasting run whose start was not answered was stopped while ready although another task of its step was unavailable, in one run"},
+	{16001, 15 * time.Second, false, false, false, "three requests on keep-alive connections were lost in two planned stops that closed the connections while their callers paused"},
+	{20000, 15 * time.Second, false, true, true, "a host was moved back by an order that arrived after a newer one with the same fence"},
 }
 
 func TestSoakFindsNoViolation(t *testing.T) {
--- a/tests/teams_test.go
+++ b/tests/teams_test.go
@@ -13,16 +13,16 @@
 	"amberway/internal/standin/fleet"
 )
 
-// TestTeamsNeedKeysAndStayWithinTheirCap runs the programs: callers without a key
-// in force are turned away by each entry host, a job that asks for more than the team's cap
-// waits in part, and the tool says why.
+// TestTeamsNeedKeysAndStayWithinTheirCap runs a deployment whose callers need keys: each entry
+// host refuses callers without a valid key, some tasks of a job that needs more than the team's
+// cap wait, and amberwayctl shows why.
 func TestTeamsNeedKeysAndStayWithinTheirCap(t *testing.T) {
 	j, err := local.StartJobsDeployment(binaries, t.TempDir(), local.JobsOptions{
 		Entries: 3, Workers: map[string]int{"blue": 2, "green": 2}, SpareMachines: 1, KeysWithin: 5 * time.Second,
 	})
 	t.Cleanup(j.Stop)
 	require.NoError(t, err)
-	// The cap is 19.2 cores, and the pool has 16 with the spare host's 8 more.
+	// The cap is 19.2 cores. The pool has 16, and 24 with the spare host.
 	wide := fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: 24, CPU: 1000, MemMB: 10, Daemon: true}}}
 	for _, e := range j.Entries {
 		code, _, err := e.CallWithKey("of-nobody", http.MethodPost, "blue", jobID(1), wide)
@@ -41,21 +41,21 @@
 
 	require.NoError(t, j.Configure("violet"))
 	violet := local.KeyForQueues("violet")
-	in := func(e *local.JobsEntry, key string) int {
+	statusWithKey := func(e *local.JobsEntry, key string) int {
 		code, _, err := e.CallWithKey(key, http.MethodGet, "blue", jobID(2), nil)
 		require.NoError(t, err)
 		return code
 	}
 	for _, e := range j.Entries {
-		require.Eventually(t, func() bool { return in(e, violet) == http.StatusOK }, jobTimeout, pollInterval)
+		require.Eventually(t, func() bool { return statusWithKey(e, violet) == http.StatusOK }, jobTimeout, pollInterval)
 	}
 	require.NoError(t, j.Configure())
 	for _, e := range j.Entries {
-		require.Eventually(t, func() bool { return in(e, violet) == http.StatusUnauthorized }, jobTimeout, pollInterval)
+		require.Eventually(t, func() bool { return statusWithKey(e, violet) == http.StatusUnauthorized }, jobTimeout, pollInterval)
 	}
 }
 
-// runTool runs amberwayctl and returns what it prints.
+// runTool runs amberwayctl and returns its output.
 func runTool(t *testing.T, args ...string) string {
 	var out, errs bytes.Buffer
 	require.Zero(t, commands.RunTool(args, &out, &errs), errs.String())
