--- a/internal/local/cmd/jobs/main.go
+++ b/internal/local/cmd/jobs/main.go
@@ -53,10 +53,10 @@
 	if err != nil {
 		return err
 	}
-	t := &loadReport{finalStates: map[string]int{}, statusCodes: map[int]int{}}
+	r := &loadReport{finalStates: map[string]int{}, statusCodes: map[int]int{}}
 	go injectFaults(ctx, j)
-	t.runJobs(ctx, j)
-	return t.print(j)
+	r.runJobs(ctx, j)
+	return r.print(j)
 }
 
 // injectFaults requests a wave, changes the configuration, kills the owner and restarts it.
@@ -105,13 +105,13 @@
 	maxDuration time.Duration
 }
 
-func (t *loadReport) runJobs(ctx context.Context, j *local.JobsDeployment) {
+func (r *loadReport) runJobs(ctx context.Context, j *local.JobsDeployment) {
 	var wg sync.WaitGroup
 	for n := range jobCount {
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { t.runJob(j, n) })
+		wg.Go(func() { r.runJob(j, n) })
 		time.Sleep(jobInterval)
 	}
 	wg.Wait()
@@ -119,7 +119,7 @@
 
 // runJob submits one job, trying the next entry host after each failure, and polls its state
 // until it is final.
-func (t *loadReport) runJob(j *local.JobsDeployment, n int) {
+func (r *loadReport) runJob(j *local.JobsDeployment, n int) {
 	queue := []string{"blue", "green"}[n%2]
 	id := fmt.Sprintf("%016x", n+1)
 	job := fleet.Job{Spec: "400ms", Steps: []fleet.Step{
@@ -129,7 +129,7 @@
 	start := time.Now()
 	for i := 0; time.Since(start) < jobTimeout; i++ {
 		code, _, err := j.Entries[(n+i)%len(j.Entries)].Call(http.MethodPost, queue, id, job)
-		t.recordStatus(code)
+		r.recordStatus(code)
 		if err == nil && code == http.StatusOK {
 			break
 		}
@@ -144,28 +144,28 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.finalStates[state]++
-	t.maxDuration = max(t.maxDuration, time.Since(start))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.finalStates[state]++
+	r.maxDuration = max(r.maxDuration, time.Since(start))
 }
 
-func (t *loadReport) recordStatus(code int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.statusCodes[code]++
+func (r *loadReport) recordStatus(code int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.statusCodes[code]++
 }
 
-func (t *loadReport) print(j *local.JobsDeployment) error {
+func (r *loadReport) print(j *local.JobsDeployment) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	for s, n := range t.finalStates {
+	for s, n := range r.finalStates {
 		fmt.Fprintf(w, "jobs that ended as %s\t%d\n", s, n)
 	}
-	for c, n := range t.statusCodes {
+	for c, n := range r.statusCodes {
 		fmt.Fprintf(w, "answers with status %d (0: none)\t%d\n", c, n)
 	}
 	fmt.Fprintf(w, "runs begun\t%d of %d needed\n", j.Fleet.Checker.StartCount(), 5*jobCount)
-	fmt.Fprintf(w, "slowest job\t%s\n", t.maxDuration.Round(time.Millisecond))
+	fmt.Fprintf(w, "slowest job\t%s\n", r.maxDuration.Round(time.Millisecond))
 	fmt.Fprintf(w, "moves between pools\t%d\n", j.Fleet.Moves())
 	fmt.Fprintf(w, "wave\t%s, at most %d machines down at once\n", j.Fleet.WaveState(waveNumber), j.Fleet.MaxDown(waveNumber))
 	fmt.Fprintf(w, "calls to the store\t%d\n", j.Fleet.Store.Calls())
@@ -175,7 +175,7 @@
 	if l := j.Fleet.Checker.Violations(); len(l) > 0 {
 		return fmt.Errorf("violations: %q", l)
 	}
-	if t.finalStates[`{"state":"succeeded"}`] != jobCount {
+	if r.finalStates[`{"state":"succeeded"}`] != jobCount {
 		return fmt.Errorf("not all of %d jobs succeeded", jobCount)
 	}
 	return nil
--- a/internal/local/cmd/profile/main.go
+++ b/internal/local/cmd/profile/main.go
@@ -1,5 +1,5 @@
-// Command profile runs a deployment that serves jobs under a steady load and prints how the
-// owner's CPU time divides over its tasks.
+// Command profile runs a deployment that serves jobs under a steady load and prints the
+// owner's CPU time by category.
 package main
 
 import (
--- a/internal/local/process.go
+++ b/internal/local/process.go
@@ -83,6 +83,7 @@
 	return p, nil
 }
 
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error {
 	return p.Cmd.Process.Signal(s)
 }
--- a/internal/soak/cancels.go
+++ b/internal/soak/cancels.go
@@ -91,8 +91,8 @@
 		l := r.cancellations
 		r.mu.Unlock()
 		for _, c := range l {
-			for _, g := range r.deployment.Fleet.Checker.RunsOfJob(c.id) {
-				r.checkStopped(c, g, now, calmFrom)
+			for _, a := range r.deployment.Fleet.Checker.RunsOfJob(c.id) {
+				r.checkStopped(c, a, now, calmFrom)
 			}
 		}
 	}
@@ -101,29 +101,29 @@
 // checkStopped checks that a run of a cancelled job ends within cancelledRunTimeout of the
 // cancellation or, if the faults end later, of calmFrom. For a run whose start order was
 // executed late, the time begins only once the owner must have learnt of the run.
-func (r *Run) checkStopped(c *cancellation, g fleet.ActiveRun, now, calmFrom time.Time) {
+func (r *Run) checkStopped(c *cancellation, a fleet.ActiveRun, now, calmFrom time.Time) {
 	due := c.ackedAt
-	if g.Late && g.StartedAt.Add(reconnectTime).After(due) {
-		due = g.StartedAt.Add(reconnectTime)
+	if a.Late && a.StartedAt.Add(reconnectTime).After(due) {
+		due = a.StartedAt.Add(reconnectTime)
 	}
 	if calmFrom.After(due) {
 		due = calmFrom
 	}
-	if c.reported[g.Task] || now.Sub(due) < cancelledRunTimeout {
+	if c.reported[a.Task] || now.Sub(due) < cancelledRunTimeout {
 		return
 	}
-	c.reported[g.Task] = true
-	r.violationf("%s run %d still runs on %s, started %.1f s ago (late: %t), %.1f s after its job was cancelled", g.Task, g.Number, g.Worker,
-		now.Sub(g.StartedAt).Seconds(), g.Late, now.Sub(c.ackedAt).Seconds())
+	c.reported[a.Task] = true
+	r.violationf("%s run %d still runs on %s, started %.1f s ago (late: %t), %.1f s after its job was cancelled", a.Task, a.Number, a.Worker,
+		now.Sub(a.StartedAt).Seconds(), a.Late, now.Sub(c.ackedAt).Seconds())
 }
 
 // countLateStarts counts the start orders that were executed late, and those among them whose
 // job's cancellation had been acknowledged before.
 func (r *Run) countLateStarts() {
-	for _, g := range r.deployment.Fleet.Checker.LateStarts() {
+	for _, a := range r.deployment.Fleet.Checker.LateStarts() {
 		r.count("late")
 		for _, c := range r.cancellations {
-			if strings.HasPrefix(g.Task, c.id+".") && g.StartedAt.After(c.ackedAt) {
+			if strings.HasPrefix(a.Task, c.id+".") && a.StartedAt.After(c.ackedAt) {
 				r.count("late and cancelled")
 			}
 		}
--- a/internal/soak/configs.go
+++ b/internal/soak/configs.go
@@ -88,28 +88,28 @@
 const maxMisses = 3
 
 // watch polls and checks until the watch is over.
-func (f *configChecker) watch() {
-	for !f.run.watchIsOver() {
+func (c *configChecker) watch() {
+	for !c.run.watchIsOver() {
 		time.Sleep(configPollInterval)
-		x := f.run.entry(f.index)
-		if p := f.run.incarnationOf(x.Name); p != f.incarnation {
-			f.incarnation, f.highest, f.misses = p, -1, 0
+		x := c.run.entry(c.index)
+		if p := c.run.incarnationOf(x.Name); p != c.incarnation {
+			c.incarnation, c.highest, c.misses = p, -1, 0
 		}
-		s := f.run.configState()
+		s := c.run.configState()
 		if s.newest+1 < s.begun {
 			// The one that is being written may already be in force.
 			continue
 		}
-		in, ok := f.poll(x, s)
-		if ok && f.run.incarnationOf(x.Name) == f.incarnation {
-			f.check(x, s, in)
+		found, ok := c.poll(x, s)
+		if ok && c.run.incarnationOf(x.Name) == c.incarnation {
+			c.check(x, s, found)
 		}
 	}
 }
 
 // poll returns the newest configuration that is in force, or -1 if it is older than the one
 // before the due one. It reports false if the entry host does not answer or has none yet.
-func (f *configChecker) poll(x *local.JobsEntry, s configState) (int, bool) {
+func (c *configChecker) poll(x *local.JobsEntry, s configState) (int, bool) {
 	for i := s.newest; i >= max(0, s.due-1); i-- {
 		code, body, err := x.Call(http.MethodGet, extraQueue(i), "", nil)
 		switch {
@@ -124,24 +124,24 @@
 
 // check checks the result of a poll: a configuration older than one that was seen before is a
 // violation, and so is one older than the due one if the entry host is connected.
-func (f *configChecker) check(x *local.JobsEntry, s configState, in int) {
-	if in >= 0 && in < f.highest || in < f.highest && f.highest == s.newest && f.run.configState().begun == s.begun {
-		f.run.violationf("%s went back from configuration %d to %d", x.Name, f.highest, in)
-		f.highest = in
+func (c *configChecker) check(x *local.JobsEntry, s configState, found int) {
+	if found >= 0 && found < c.highest || found < c.highest && c.highest == s.newest && c.run.configState().begun == s.begun {
+		c.run.violationf("%s went back from configuration %d to %d", x.Name, c.highest, found)
+		c.highest = found
 	}
-	f.highest = max(f.highest, in)
-	f.misses++
-	if in >= s.due || f.run.configState().begun != s.begun {
-		f.misses = 0
+	c.highest = max(c.highest, found)
+	c.misses++
+	if found >= s.due || c.run.configState().begun != s.begun {
+		c.misses = 0
 		return
 	}
 	affects := func(scope string) bool { return scope == x.Name || scope == scopeStore || scope == scopeAll }
-	if f.misses < maxMisses && in < 0 || f.reported == s.due || s.at.Sub(f.run.lastFaultAt(affects)) < reconnectTime {
+	if c.misses < maxMisses && found < 0 || c.reported == s.due || s.at.Sub(c.run.lastFaultAt(affects)) < reconnectTime {
 		return
 	}
-	f.reported = s.due
-	f.run.violationf("%s has configuration %d in force, but %d was accepted %.1f s ago", x.Name, in, s.due,
-		s.at.Sub(f.run.configAt(s.due).acceptedAt).Seconds())
+	c.reported = s.due
+	c.run.violationf("%s has configuration %d in force, but %d was accepted %.1f s ago", x.Name, found, s.due,
+		s.at.Sub(c.run.configAt(s.due).acceptedAt).Seconds())
 }
 
 func (r *Run) configAt(i int) configuration {
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -66,17 +66,17 @@
 	loseRequests, loseAnswers atomic.Bool
 }
 
-func (j *proxiedConn) close() {
-	resetConn(j.client)
-	resetConn(j.server)
+func (p *proxiedConn) close() {
+	resetConn(p.client)
+	resetConn(p.server)
 }
 
 // loses reports whether the bytes of a direction are lost.
-func (j *proxiedConn) loses(answers bool) bool {
+func (p *proxiedConn) loses(answers bool) bool {
 	if answers {
-		return j.loseAnswers.Load()
+		return p.loseAnswers.Load()
 	}
-	return j.loseRequests.Load()
+	return p.loseRequests.Load()
 }
 
 // NewLink returns a healthy link to the address.
@@ -139,8 +139,8 @@
 }
 
 func (k *Link) resetAll() {
-	for j := range k.conns {
-		j.close()
+	for p := range k.conns {
+		p.close()
 	}
 	clear(k.conns)
 }
@@ -150,9 +150,9 @@
 func (k *Link) Silence(oneWay bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for j := range k.conns {
-		j.loseAnswers.Store(true)
-		j.loseRequests.Store(!oneWay || j.loseRequests.Load())
+	for p := range k.conns {
+		p.loseAnswers.Store(true)
+		p.loseRequests.Store(!oneWay || p.loseRequests.Load())
 	}
 }
 
@@ -191,22 +191,22 @@
 		resetConn(c)
 		return
 	}
-	j := &proxiedConn{client: c, server: d}
+	p := &proxiedConn{client: c, server: d}
 	k.mu.Lock()
-	k.conns[j] = true
+	k.conns[p] = true
 	k.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { k.forward(j, c, d, false) })
-	k.forward(j, d, c, true)
+	wg.Go(func() { k.forward(p, c, d, false) })
+	k.forward(p, d, c, true)
 	wg.Wait()
 	k.mu.Lock()
-	delete(k.conns, j)
+	delete(k.conns, p)
 	k.mu.Unlock()
 }
 
 // forward copies the bytes of one direction until either side closes.
-func (k *Link) forward(j *proxiedConn, from, to net.Conn, answers bool) {
-	defer k.closeConns(j, from, answers)
+func (k *Link) forward(p *proxiedConn, from, to net.Conn, answers bool) {
+	defer k.closeConns(p, from, answers)
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
@@ -214,7 +214,7 @@
 			k.delay(answers)
 			k.throttle(n)
 		}
-		if n > 0 && !j.loses(answers) {
+		if n > 0 && !p.loses(answers) {
 			if _, err := to.Write(b[:n]); err != nil {
 				return
 			}
@@ -232,12 +232,12 @@
 
 // closeConns closes both sides after one has ended, or only that one if the direction is lost,
 // so that the other does not learn of it.
-func (*Link) closeConns(j *proxiedConn, from net.Conn, answers bool) {
-	if j.loses(answers) {
+func (*Link) closeConns(p *proxiedConn, from net.Conn, answers bool) {
+	if p.loses(answers) {
 		resetConn(from)
 		return
 	}
-	j.close()
+	p.close()
 }
 
 // delay waits until the state of the link lets the bytes of a direction pass.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -95,8 +95,8 @@
 		wg.Go(r.runCrashingJobs)
 	}
 	for i := range o.Entries {
-		f := &configChecker{run: r, index: i, reported: -1}
-		wg.Go(f.watch)
+		c := &configChecker{run: r, index: i, reported: -1}
+		wg.Go(c.watch)
 		wg.Go(func() { r.checkInvalidKeys(i) })
 	}
 	wg.Go(func() { r.injectFaults(&wg) })
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -7,7 +7,7 @@
 	"amberway/internal/standin/fleet"
 )
 
-// randomDuration draws a duration from [from, to) that differs from from by whole
+// randomDuration returns a random duration in [from, to), which is from plus a number of whole
 // milliseconds.
 func randomDuration(r *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(r.Int64N(max(1, (to-from).Milliseconds())))*time.Millisecond
--- a/tests/restart_test.go
+++ b/tests/restart_test.go
@@ -21,7 +21,7 @@
 // TestTasksResumeAfterWorkerRestartsUnderItsID has workers crash and restart under their ids
 // before their records expire: at the same address or another, with clocks that were set back,
 // and several times. The platform's list of machines never shows the restart, and the store
-// only later: until then, only the start time in the worker's own answers does.
+// only later: until then, only what the worker's own answers say about its start does.
 func TestTasksResumeAfterWorkerRestartsUnderItsID(t *testing.T) {
 	for name, r := range map[string]fleet.Restart{
 		"at once":                {Times: 1},
--- a/tests/teams_test.go
+++ b/tests/teams_test.go
@@ -22,7 +22,7 @@
 	})
 	t.Cleanup(j.Stop)
 	require.NoError(t, err)
-	// The cap is 19.2 cores. The pool has 16, and 24 with the spare host.
+	// The cap is 19.2 cores. The pool has 16, plus 8 of the spare host.
 	wide := fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: 24, CPU: 1000, MemMB: 10, Daemon: true}}}
 	for _, e := range j.Entries {
 		code, _, err := e.CallWithKey("of-nobody", http.MethodPost, "blue", jobID(1), wide)
