--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -73,7 +73,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	d, err := newDaemon(s, c, newLogger(s, c, errs))
+	d, err := newRequestsDaemon(s, c, newLogger(s, c, errs))
 	if err != nil {
 		fmt.Fprintf(errs, "amberwayd: %v\n", err)
 		return ExitFailed
--- a/commands/jobs.go
+++ b/commands/jobs.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	peers, err := d.startGracefulServer(background, d.parsed.peers, d.peers(), 0, failed)
+	peers, err := d.startGracefulServer(background, d.parsed.peers, d.peersHandler(), 0, failed)
 	if err != nil {
 		return err
 	}
@@ -137,9 +137,9 @@
 	return s, nil
 }
 
-// peers returns the handler for other entry hosts, metrics and, if the settings enable
+// peersHandler returns the handler for other entry hosts, metrics and, if the settings enable
 // them, profiles.
-func (d *jobsDaemon) peers() http.Handler {
+func (d *jobsDaemon) peersHandler() http.Handler {
 	if !d.settings.Profile {
 		return d.node.Peers()
 	}
--- a/commands/wiring.go
+++ b/commands/wiring.go
@@ -23,8 +23,8 @@
 	"amberway/request"
 )
 
-// newDaemon creates the parts of a daemon for requests and connects them.
-func newDaemon(s Settings, c parsedSettings, l *logrus.Logger) (*requestsDaemon, error) {
+// newRequestsDaemon creates the parts of a daemon for requests and connects them.
+func newRequestsDaemon(s Settings, c parsedSettings, l *logrus.Logger) (*requestsDaemon, error) {
 	h, m, err := newMeter()
 	if err != nil {
 		return nil, err
--- a/common/http_client.go
+++ b/common/http_client.go
@@ -16,10 +16,10 @@
 	// dialTimeout bounds the opening of a connection. That takes a few milliseconds, but
 	// TCP resends a lost opening packet only after one second.
 	dialTimeout = 1200 * time.Millisecond
-	// maxReply bounds the body of one answer, in bytes: a page of the platform's
+	// maxReplyBytes bounds the body of one answer, in bytes: a page of the platform's
 	// store is at most one megabyte of values, which base64 makes a third
 	// longer.
-	maxReply int64 = 4 << 20
+	maxReplyBytes int64 = 4 << 20
 	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 30 * time.Second
 	// usualAnswerTime is the longest time that an answer takes when nothing is wrong,
--- a/common/plain_client.go
+++ b/common/plain_client.go
@@ -164,7 +164,7 @@
 // readReply reads the rest of the answer. It reports whether its connection may be reused.
 func (a *attempt) readReply(res *http.Response) (Reply, bool, error) {
 	defer res.Body.Close()
-	limit := cmp.Or(a.MaxReplyBytes, maxReply)
+	limit := cmp.Or(a.MaxReplyBytes, maxReplyBytes)
 	b, err := readBody(a.stallingBody(res.Body), res.ContentLength, limit)
 	if err != nil {
 		return Reply{}, false, err
--- a/config/publish_test.go
+++ b/config/publish_test.go
@@ -19,7 +19,7 @@
 // oracle is what each operator was told about its publication.
 type publishModel struct {
 	t              *rapid.T
-	memory         *standin.FaultyStore
+	store          *standin.FaultyStore
 	hosts          []*Adopter
 	lastGeneration []int64
 	// accepted has, by generation, the operator of the document that was reported
@@ -28,16 +28,16 @@
 	refused  map[string]bool
 	// heads are all heads that have been seen in the store.
 	heads []*Head
-	// next numbers the documents.
-	next int
-	// depth counts nested publications: each store call may start another one.
-	depth  int
-	faults bool
+	// documentCount numbers the documents.
+	documentCount int
+	// nesting counts nested publications: each store call may start another one.
+	nesting int
+	faults  bool
 }
 
 func newPublishModel(t *rapid.T) *publishModel {
-	m := &publishModel{t: t, memory: standin.NewFaultyStore(), accepted: map[int64]string{}, refused: map[string]bool{}, faults: true}
-	m.memory.Decide = m.decide
+	m := &publishModel{t: t, store: standin.NewFaultyStore(), accepted: map[int64]string{}, refused: map[string]bool{}, faults: true}
+	m.store.Decide = m.drawOutcome
 	for range 3 {
 		m.hosts = append(m.hosts, NewAdopter())
 	}
@@ -45,14 +45,14 @@
 	return m
 }
 
-func (m *publishModel) decide(write bool) standin.Outcome {
+func (m *publishModel) drawOutcome(write bool) standin.Outcome {
 	if !m.faults {
 		return standin.Succeeds
 	}
-	if m.depth < 2 && rapid.IntRange(0, 9).Draw(m.t, "meanwhile") == 0 {
-		m.depth++
+	if m.nesting < 2 && rapid.IntRange(0, 9).Draw(m.t, "meanwhile") == 0 {
+		m.nesting++
 		m.publish()
-		m.depth--
+		m.nesting--
 	}
 	if !write {
 		return standin.Succeeds
@@ -66,8 +66,8 @@
 
 // document returns a document that differs from all others by its operator.
 func (m *publishModel) document() *Document {
-	m.next++
-	d := &Document{Operator: fmt.Sprint("operator-", m.next), DataCentres: []string{"north"}}
+	m.documentCount++
+	d := &Document{Operator: fmt.Sprint("operator-", m.documentCount), DataCentres: []string{"north"}}
 	for n := range rapid.IntRange(0, 2).Draw(m.t, "pools") {
 		d.Teams = append(d.Teams, Team{Name: fmt.Sprint("team-", n), MaxHosts: rapid.IntRange(0, 2).Draw(m.t, "hosts")})
 	}
@@ -78,14 +78,14 @@
 // one before.
 func (m *publishModel) publish() {
 	d := m.document()
-	m.depth++
-	h, _, err := ReadHead(context.Background(), m.memory)
-	m.depth--
+	m.nesting++
+	h, _, err := ReadHead(context.Background(), m.store)
+	m.nesting--
 	if err != nil {
 		return
 	}
 	base := h.Generation - int64(rapid.IntRange(0, 1).Draw(m.t, "stale"))
-	p := NewPublisher(m.memory)
+	p := NewPublisher(m.store)
 	p.retryDelay = 0
 	next, err := p.Publish(context.Background(), d, base)
 	var stale *StaleError
@@ -107,7 +107,7 @@
 
 // recordHead adds the head that is in the store now to heads.
 func (m *publishModel) recordHead() {
-	l, _ := m.memory.Store.Range(HeadKey, "")
+	l, _ := m.store.Store.Range(HeadKey, "")
 	if len(l) == 0 {
 		return
 	}
@@ -135,7 +135,7 @@
 func (m *publishModel) supply(a *Adopter) {
 	blobs := map[Hash][]byte{}
 	for _, h := range a.Missing() {
-		l, _ := m.memory.Store.Range(SectionPrefix+string(h), "")
+		l, _ := m.store.Store.Range(SectionPrefix+string(h), "")
 		if len(l) > 0 {
 			blobs[h] = l[0].Value
 		}
@@ -168,7 +168,7 @@
 // in the store are there.
 func (m *publishModel) checkFinalHead() {
 	m.faults = false
-	m.memory.DeliverDelayed()
+	m.store.DeliverDelayed()
 	m.recordHead()
 	if len(m.heads) == 0 {
 		return
@@ -184,7 +184,7 @@
 		m.t.Fatalf("the newest head was not adopted")
 	}
 	blobs := map[Hash][]byte{}
-	l, _ := m.memory.Store.Range(SectionPrefix, string(platform.PrefixEnd(SectionPrefix)))
+	l, _ := m.store.Store.Range(SectionPrefix, string(platform.PrefixEnd(SectionPrefix)))
 	for _, k := range l {
 		blobs[Hash(string(k.Key)[len(SectionPrefix):])] = k.Value
 	}
@@ -203,7 +203,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) { m.t = t; m.publish() },
 			"adopt":   m.adopt,
-			"deliver": func(*rapid.T) { m.memory.DeliverDelayed(); m.recordHead() },
+			"deliver": func(*rapid.T) { m.store.DeliverDelayed(); m.recordHead() },
 		})
 		m.t = t
 		m.checkFinalHead()
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -71,7 +71,7 @@
 // waveStep is the simulated time between two plans.
 const waveStep = 10 * time.Second
 
-func newWaveRun(hosts, racks, limit int) *waveSimulation {
+func newWaveSimulation(hosts, racks, limit int) *waveSimulation {
 	d, l := smallFleet(hosts, racks)
 	d.Waves[0].MaxInMaintenance = limit
 	return &waveSimulation{doc: d, list: l, now: time.Unix(1e9, 0), rebootEnds: map[string]time.Time{}}
@@ -150,7 +150,7 @@
 				var w *waveSimulation
 				var took time.Duration
 				for b.Loop() {
-					w = newWaveRun(v.hosts, v.racks, limit)
+					w = newWaveSimulation(v.hosts, v.racks, limit)
 					took = w.run()
 				}
 				bound := time.Duration((v.hosts+atOnce-1)/atOnce) * RebootEstimate
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -212,7 +212,7 @@
 	w.OrderDeadline = p.Now.Add(OrderTTL)
 	w.RebootDeadline = p.Now.Add(RebootTimeout)
 	p.setHost(name, w)
-	p.repeatOrder(name, w, h)
+	p.addOrder(name, w, h)
 }
 
 // checkReboot returns a rebooted host to service, or marks it as overdue. A host whose
@@ -237,14 +237,14 @@
 		p.setHost(name, w)
 		p.note("host " + name + " has not come back from its reboot")
 	}
-	p.repeatOrder(name, w, h)
+	p.addOrder(name, w, h)
 }
 
-// repeatOrder adds the host's order to the output, which every plan does until the host
+// addOrder adds the host's order to the output, which every plan does until the host
 // goes down or is overdue: an earlier coordinator may have died before it sent the order.
 // An order that has expired gets a new deadline. The platform carries out an order once
 // per term.
-func (p *planner) repeatOrder(name string, w HostStatus, h platform.Host) {
+func (p *planner) addOrder(name string, w HostStatus, h platform.Host) {
 	if w.State != Rebooting || !h.Live {
 		return
 	}
--- a/fleet/plan_test.go
+++ b/fleet/plan_test.go
@@ -49,28 +49,28 @@
 // fleetModel is a data centre with hosts and racks that fail, two coordinators, two
 // entry hosts, a lagging host list and operators.
 type fleetModel struct {
-	t      *rapid.T
-	now    time.Time
-	memory *standin.FaultyStore
-	hosts  map[string]platform.Host
-	lists  []platform.HostList
-	// takenTerms has, by host, the term of the last order that the platform accepted.
-	takenTerms   map[string]int64
-	reboots      map[string]int
-	doc          *config.Document
-	gen          int64
-	coordinators []*modelCoordinator
-	entryHosts   []*modelEntryHost
+	t     *rapid.T
+	now   time.Time
+	store *standin.FaultyStore
+	hosts map[string]platform.Host
+	lists []platform.HostList
+	// acceptedTerms has, by host, the term of the last order that the platform accepted.
+	acceptedTerms map[string]int64
+	reboots       map[string]int
+	doc           *config.Document
+	gen           int64
+	coordinators  []*modelCoordinator
+	entryHosts    []*modelEntryHost
 	// lastGeneration is the generation of the last record checked.
 	lastGeneration int64
 }
 
 func newFleetModel(t *rapid.T) *fleetModel {
 	m := &fleetModel{
-		t: t, now: time.Unix(1e9, 0), memory: standin.NewFaultyStore(), hosts: map[string]platform.Host{},
-		takenTerms: map[string]int64{}, reboots: map[string]int{}, gen: 1,
+		t: t, now: time.Unix(1e9, 0), store: standin.NewFaultyStore(), hosts: map[string]platform.Host{},
+		acceptedTerms: map[string]int64{}, reboots: map[string]int{}, gen: 1,
 	}
-	m.memory.Decide = m.drawFate
+	m.store.Decide = m.drawOutcome
 	for n := range rapid.IntRange(3, 9).Draw(t, "hosts") {
 		h := platform.Host{
 			Name: fmt.Sprint("h", n), DataCentre: testDC, Rack: fmt.Sprint("r", rapid.IntRange(0, 3).Draw(t, "rack")),
@@ -88,7 +88,7 @@
 	return m
 }
 
-func (m *fleetModel) drawFate(write bool) standin.Outcome {
+func (m *fleetModel) drawOutcome(write bool) standin.Outcome {
 	if !write {
 		return standin.Succeeds
 	}
@@ -189,7 +189,7 @@
 }
 
 func (m *fleetModel) stored() (Record, platform.Revision) {
-	l, _ := m.memory.Store.Range(RecordKey(testDC), "")
+	l, _ := m.store.Store.Range(RecordKey(testDC), "")
 	if len(l) == 0 {
 		return Record{}, 0
 	}
@@ -220,7 +220,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rev, err := m.memory.Swap(context.Background(), RecordKey(testDC), b, c.revision)
+	rev, err := m.store.Swap(context.Background(), RecordKey(testDC), b, c.revision)
 	m.checkSwap(in, next, mayBeInForce(err))
 	if err != nil {
 		c.record, c.revision = m.stored()
@@ -342,10 +342,10 @@
 	m.t = t
 	c := rapid.SampledFrom(m.coordinators).Draw(t, "actor")
 	for _, o := range c.orders {
-		if !m.now.Before(o.Deadline) || o.Term <= m.takenTerms[o.Host] {
+		if !m.now.Before(o.Deadline) || o.Term <= m.acceptedTerms[o.Host] {
 			continue
 		}
-		m.takenTerms[o.Host] = o.Term
+		m.acceptedTerms[o.Host] = o.Term
 		m.reboot(o.Host)
 	}
 }
@@ -449,7 +449,7 @@
 		"view":    m.refreshEntryHost,
 		"view2":   m.refreshEntryHost,
 		"run":     m.run,
-		"deliver": func(*rapid.T) { m.memory.DeliverDelayed() },
+		"deliver": func(*rapid.T) { m.store.DeliverDelayed() },
 	})
 }
 
--- a/internal/local/jobs.go
+++ b/internal/local/jobs.go
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// Logs returns the lines that contain the text, from the logs of all present entry hosts.
-func (j *JobsDeployment) Logs(text string) []string {
+// LogLines returns the lines that contain the text, from the logs of all present entry hosts.
+func (j *JobsDeployment) LogLines(text string) []string {
 	var l []string
 	for _, e := range j.Entries {
 		b, err := os.ReadFile(filepath.Join(j.dir, e.Name+".log"))
--- a/internal/soak/cancels.go
+++ b/internal/soak/cancels.go
@@ -13,8 +13,8 @@
 const (
 	// With each cancelEvery-th job a further one is submitted that its caller cancels, at
 	// most maxCancelDelay after it was accepted.
-	cancelEvery    = 2
-	maxCancelDelay = 2500 * time.Millisecond
+	cancelledJobEvery = 2
+	maxCancelDelay    = 2500 * time.Millisecond
 	// cancelIDBase is the first id of such jobs, and cancelTasks how many tasks each has.
 	cancelIDBase, cancelTasks = 0x2000000, 3
 	// cancelledRunTimeout is how long tasks of a cancelled job may still run: the time in
@@ -101,9 +101,9 @@
 // checkStopped checks that a run of a cancelled job ends within cancelledRunTimeout of the
 // cancellation or, if the faults end later, of calmFrom. For a run whose start order was
 // executed late, the time begins only once the owner must have learnt of the run.
-func (r *Run) checkStopped(c *cancellation, a fleet.ActiveRun, now, calmFrom time.Time) {
+func (r *Run) checkStopped(c *cancellation, a fleet.StartedRun, now, calmFrom time.Time) {
 	due := c.ackedAt
-	if a.Late && a.StartedAt.Add(reconnectTime).After(due) {
+	if a.Delayed && a.StartedAt.Add(reconnectTime).After(due) {
 		due = a.StartedAt.Add(reconnectTime)
 	}
 	if calmFrom.After(due) {
@@ -114,13 +114,13 @@
 	}
 	c.reported[a.Task] = true
 	r.violationf("%s run %d still runs on %s, started %.1f s ago (late: %t), %.1f s after its job was cancelled", a.Task, a.Number, a.Worker,
-		now.Sub(a.StartedAt).Seconds(), a.Late, now.Sub(c.ackedAt).Seconds())
+		now.Sub(a.StartedAt).Seconds(), a.Delayed, now.Sub(c.ackedAt).Seconds())
 }
 
 // countLateStarts counts the start orders that were executed late, and those among them whose
 // job's cancellation had been acknowledged before.
 func (r *Run) countLateStarts() {
-	for _, a := range r.deployment.Fleet.Checker.LateStarts() {
+	for _, a := range r.deployment.Fleet.Checker.DelayedStarts() {
 		r.count("late")
 		for _, c := range r.cancellations {
 			if strings.HasPrefix(a.Task, c.id+".") && a.StartedAt.After(c.ackedAt) {
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -68,5 +68,5 @@
 
 // takeovers returns how often an entry host has taken over the ownership.
 func (r *Run) takeovers() int {
-	return len(r.deployment.Logs(`"msg":"takes over"`))
+	return len(r.deployment.LogLines(`"msg":"takes over"`))
 }
--- a/internal/soak/lasting.go
+++ b/internal/soak/lasting.go
@@ -22,9 +22,9 @@
 	// minCalm is how long there must have been no fault before a violation counts: the time
 	// for which the task is overdue, and the lease of a worker before that.
 	minCalm = overdueMargin + 4*time.Second
-	// watchTime is how long lasting tasks are watched after the last fault was drawn: a fault
+	// lastingWatchTime is how long lasting tasks are watched after the last fault was drawn: a fault
 	// takes up to five seconds, and a violation shows only after that.
-	watchTime = 5*time.Second + restartTimeout + overdueMargin
+	lastingWatchTime = 5*time.Second + restartTimeout + overdueMargin
 	// checkInterval is the pause between two checks of the tasks.
 	checkInterval = 20 * time.Millisecond
 )
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -100,7 +100,7 @@
 // lasting tasks need to show that they are ready again.
 const (
 	burstTime = 20 * time.Second
-	calmTime  = watchTime
+	calmTime  = lastingWatchTime
 )
 
 // Plan returns the events of the seed until the given time: two a second on average, which
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -84,7 +84,7 @@
 		l = append(l, r.submitBudgetedJobs()...)
 	}
 	r.settledAt = time.Now().Add(o.Duration + settleTime)
-	r.watchUntil = time.Now().Add(o.Duration + watchTime)
+	r.watchUntil = time.Now().Add(o.Duration + lastingWatchTime)
 	if r.DelayMachineOrders {
 		r.delayMachineOrders()
 	}
@@ -102,7 +102,7 @@
 	wg.Go(func() { r.injectFaults(&wg) })
 	for n := 0; time.Until(r.settledAt) > settleTime; n++ {
 		wg.Go(func() { r.runJob(n) })
-		if n%cancelEvery == 0 {
+		if n%cancelledJobEvery == 0 {
 			wg.Go(func() { r.runCancelledJob(n) })
 		}
 		time.Sleep(callInterval)
--- a/internal/standin/faultystore.go
+++ b/internal/standin/faultystore.go
@@ -56,7 +56,7 @@
 	case NotSent:
 		return platform.ErrNotSent
 	default:
-		return platform.ErrUnknown
+		return platform.ErrUnknownOutcome
 	}
 }
 
@@ -112,13 +112,13 @@
 	case NotSent:
 		return 0, platform.ErrNotSent
 	case RequestLost:
-		return 0, platform.ErrUnknown
+		return 0, platform.ErrUnknownOutcome
 	case Delayed:
 		s.delayed = append(s.delayed, t)
-		return 0, platform.ErrUnknown
+		return 0, platform.ErrUnknownOutcome
 	case AnswerLost:
 		s.Store.Txn(t)
-		return 0, platform.ErrUnknown
+		return 0, platform.ErrUnknownOutcome
 	default:
 		ok, rev := s.Store.Txn(t)
 		if !ok {
@@ -135,14 +135,14 @@
 		return platform.ErrNotSent
 	}
 	if f == RequestLost {
-		return platform.ErrUnknown
+		return platform.ErrUnknownOutcome
 	}
 	l, _ := s.Store.Range(from, to)
 	for _, k := range l {
 		s.Store.Txn(platform.WireTxn{Success: []platform.WireOp{{Delete: &platform.WireDelete{Key: k.Key}}}})
 	}
 	if f != Succeeds {
-		return platform.ErrUnknown
+		return platform.ErrUnknownOutcome
 	}
 	return nil
 }
--- a/internal/standin/fleet/checker.go
+++ b/internal/standin/fleet/checker.go
@@ -11,12 +11,12 @@
 // Checker records what workers did, and the violations of guarantees that it found.
 type Checker struct {
 	mu         sync.Mutex
-	active     map[string]ActiveRun
+	active     map[string]StartedRun
 	done       map[string]bool
 	violations []string
 	startCount int
-	// lateStarts are the starts whose orders were delayed.
-	lateStarts []ActiveRun
+	// delayedStarts are the starts whose orders were delayed.
+	delayedStarts []StartedRun
 	// started are the jobs of which a task has started.
 	started map[string]bool
 	// acknowledged are the tasks whose success was acknowledged to the worker.
@@ -29,18 +29,18 @@
 	disruptionChecks
 }
 
-// ActiveRun is a run that has started.
-type ActiveRun struct {
+// StartedRun is a run that has started.
+type StartedRun struct {
 	Task, Worker string
 	Number       int64
 	StartedAt    time.Time
-	// Late says that the order to start it was delayed.
-	Late bool
+	// Delayed says that the order to start it was delayed.
+	Delayed bool
 }
 
 // NewChecker returns a checker that has recorded nothing.
 func NewChecker() *Checker {
-	return &Checker{active: map[string]ActiveRun{}, done: map[string]bool{}, started: map[string]bool{}, acknowledged: map[string]bool{}, crashes: map[string]int{}, disruptionChecks: newDisruptionChecks()}
+	return &Checker{active: map[string]StartedRun{}, done: map[string]bool{}, started: map[string]bool{}, acknowledged: map[string]bool{}, crashes: map[string]int{}, disruptionChecks: newDisruptionChecks()}
 }
 
 func (c *Checker) recordStart(task string, number int64, worker string, late bool) {
@@ -56,9 +56,9 @@
 	c.checkStepOrder(task)
 	job, _, _ := strings.Cut(task, ".")
 	c.started[job] = true
-	r := ActiveRun{Task: task, Worker: worker, Number: number, StartedAt: time.Now(), Late: late}
+	r := StartedRun{Task: task, Worker: worker, Number: number, StartedAt: time.Now(), Delayed: late}
 	if late {
-		c.lateStarts = append(c.lateStarts, r)
+		c.delayedStarts = append(c.delayedStarts, r)
 	}
 	c.active[task] = r
 }
@@ -157,10 +157,10 @@
 }
 
 // RunsOfJob returns the runs of the job's tasks that have not ended.
-func (c *Checker) RunsOfJob(job string) []ActiveRun {
+func (c *Checker) RunsOfJob(job string) []StartedRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var l []ActiveRun
+	var l []StartedRun
 	for t, r := range c.active {
 		if strings.HasPrefix(t, job+".") {
 			l = append(l, r)
@@ -169,11 +169,11 @@
 	return l
 }
 
-// LateStarts returns the starts whose orders were delayed.
-func (c *Checker) LateStarts() []ActiveRun {
+// DelayedStarts returns the starts whose orders were delayed.
+func (c *Checker) DelayedStarts() []StartedRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.lateStarts)
+	return slices.Clone(c.delayedStarts)
 }
 
 // RunningCount returns how many tasks are running.
--- a/internal/standin/fleet/crash.go
+++ b/internal/standin/fleet/crash.go
@@ -29,7 +29,7 @@
 
 // crash crashes the machine's worker, and returns the worker's id.
 func (f *Fleet) crash(m *Machine, downFor time.Duration) string {
-	id := m.ID
+	id := m.WorkerID
 	f.Checker.recordCrash(m.worker.runningTasks())
 	m.worker.end()
 	m.State = "down"
--- a/internal/standin/fleet/delay.go
+++ b/internal/standin/fleet/delay.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// lateHeader marks an order that was delayed.
-const lateHeader = "Late"
+// delayedHeader marks an order that was delayed.
+const delayedHeader = "Late"
 
 // DelayRunOrders delays orders to start and to stop runs for the time d, at every second
 // worker: from the first on if from is even, from the second on if it is odd. Such an order
@@ -96,7 +96,7 @@
 	}
 	q := r.Clone(context.WithoutCancel(r.Context()))
 	q.Body = io.NopCloser(bytes.NewReader(b))
-	q.Header.Set(lateHeader, "1")
+	q.Header.Set(delayedHeader, "1")
 	time.AfterFunc(delay, func() { h.ServeHTTP(&discardWriter{}, q) })
 	select {
 	case <-r.Context().Done():
--- a/internal/standin/fleet/delay_test.go
+++ b/internal/standin/fleet/delay_test.go
@@ -26,8 +26,8 @@
 	require.NoError(t, startTask(c, w, "a.0.0.2", time.Second), "orders are not delayed any more")
 	late := map[string]bool{}
 	for _, r := range f.Checker.RunsOfJob("a") {
-		late[r.Task] = r.Late
+		late[r.Task] = r.Delayed
 	}
 	require.Equal(t, map[string]bool{"a.0.0.0": false, "a.0.0.1": true, "a.0.0.2": false}, late)
-	require.Len(t, f.Checker.LateStarts(), 1)
+	require.Len(t, f.Checker.DelayedStarts(), 1)
 }
--- a/internal/standin/fleet/machineorders.go
+++ b/internal/standin/fleet/machineorders.go
@@ -71,7 +71,7 @@
 		return
 	}
 	f.serveOrder(w, r, q.Machine, machineOrder{
-		isDone: func(m *Machine) bool { return m.wave == q.Wave },
+		isDone: func(m *Machine) bool { return m.maintainedBy == q.Wave },
 		apply:  func(m *Machine) { f.maintain(m, q.Wave) },
 	})
 }
@@ -133,10 +133,10 @@
 	if m.State != "up" || m.leaving {
 		return reasonBusy
 	}
-	if o.number < m.lastOrder {
+	if o.number < m.newestOrder {
 		f.Checker.recordUndoneOrder(m.Name, o.fence)
 	}
-	m.lastOrder = max(m.lastOrder, o.number)
+	m.newestOrder = max(m.newestOrder, o.number)
 	m.worker.checkDisruptions(o.delayed)
 	f.stopWorker(m)
 	o.apply(m)
@@ -150,7 +150,7 @@
 }
 
 func (f *Fleet) maintain(m *Machine, wave int64) {
-	m.wave, m.State = wave, "upkeep"
+	m.maintainedBy, m.State = wave, "upkeep"
 	f.downByWave[wave]++
 	f.maxDownByWave[wave] = max(f.maxDownByWave[wave], f.downByWave[wave])
 	time.AfterFunc(f.Downtime, func() { f.endDowntime(m, wave) })
--- a/internal/standin/fleet/machines.go
+++ b/internal/standin/fleet/machines.go
@@ -18,21 +18,21 @@
 
 // Machine is one machine.
 type Machine struct {
-	Name     string   `json:"machine"`
-	Pool     string   `json:"pool"`
-	State    string   `json:"state"`
-	Zone     string   `json:"zone"`
-	Labels   []string `json:"labels"`
-	Capacity Capacity `json:"capacity"`
-	ID       string   `json:"id"`
-	worker   *worker
-	wave     int64
+	Name         string   `json:"machine"`
+	Pool         string   `json:"pool"`
+	State        string   `json:"state"`
+	Zone         string   `json:"zone"`
+	Labels       []string `json:"labels"`
+	Capacity     Capacity `json:"capacity"`
+	WorkerID     string   `json:"id"`
+	worker       *worker
+	maintainedBy int64
 	// leaving says that it is being removed for good.
 	leaving bool
 	// fence is the highest fence of its orders, lastOrder the number of the newest one that
 	// was executed.
-	fence     int64
-	lastOrder int
+	fence       int64
+	newestOrder int
 }
 
 // Fleet is the store, the machines with their workers, and the machines' API.
@@ -116,21 +116,21 @@
 
 // boot starts the machine's worker, unless the machine is switched off or being removed.
 func (f *Fleet) boot(m *Machine) error {
-	m.State, m.ID, m.worker = "up", "", nil
+	m.State, m.WorkerID, m.worker = "up", "", nil
 	if m.Pool == f.Spare || m.leaving {
 		return nil
 	}
 	f.lastWorkerID++
-	m.ID = fmt.Sprintf("i-%06d", f.lastWorkerID)
+	m.WorkerID = fmt.Sprintf("i-%06d", f.lastWorkerID)
 	if err := f.startWorker(m, anyAddress, 0); err != nil {
 		return err
 	}
-	return f.Store.Put("servers/"+m.ID, m.worker.record(false))
+	return f.Store.Put("servers/"+m.WorkerID, m.worker.record(false))
 }
 
 // startWorker starts a worker under the machine's id, without writing a record.
 func (f *Fleet) startWorker(m *Machine, address string, clockOff time.Duration) error {
-	w, err := newWorker(m.ID, address, clockOff, m, f.Checker)
+	w, err := newWorker(m.WorkerID, address, clockOff, m, f.Checker)
 	if err != nil {
 		return err
 	}
@@ -143,9 +143,9 @@
 func (f *Fleet) stopWorker(m *Machine) {
 	if m.worker != nil {
 		m.worker.end()
-		f.Store.Remove("servers/" + m.ID)
+		f.Store.Remove("servers/" + m.WorkerID)
 	}
-	m.worker, m.ID = nil, ""
+	m.worker, m.WorkerID = nil, ""
 }
 
 func (w *worker) busy() bool {
--- a/internal/standin/fleet/removal.go
+++ b/internal/standin/fleet/removal.go
@@ -31,7 +31,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.worker != nil {
-		f.Store.Remove("servers/" + m.ID)
+		f.Store.Remove("servers/" + m.WorkerID)
 		m.worker.decommission(r.Hangs)
 		f.removed = append(f.removed, m.worker)
 		m.worker = nil
@@ -44,13 +44,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.machines {
-		if m.worker == nil || m.ID != id || m.leaving || m.State != "up" {
+		if m.worker == nil || m.WorkerID != id || m.leaving || m.State != "up" {
 			continue
 		}
 		m.leaving = true
 		m.worker.setLeaving()
 		if r.Drain > 0 {
-			return m, f.Store.Put("servers/"+m.ID, m.worker.record(true))
+			return m, f.Store.Put("servers/"+m.WorkerID, m.worker.record(true))
 		}
 		return m, nil
 	}
@@ -77,7 +77,7 @@
 			continue
 		}
 		if n := m.worker.lastingRuns(); n > most {
-			id, pool, most = m.ID, m.Pool, n
+			id, pool, most = m.WorkerID, m.Pool, n
 		}
 	}
 	return id, pool
--- a/internal/standin/fleet/restart.go
+++ b/internal/standin/fleet/restart.go
@@ -26,7 +26,7 @@
 		return ""
 	}
 	f.crashForRestart(m, r)
-	return m.ID
+	return m.WorkerID
 }
 
 func (f *Fleet) crashForRestart(m *Machine, r Restart) {
@@ -65,6 +65,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.worker == w && !m.leaving && m.State == "up" {
-		_ = f.Store.Put("servers/"+m.ID, w.record(false))
+		_ = f.Store.Put("servers/"+m.WorkerID, w.record(false))
 	}
 }
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -138,7 +138,7 @@
 		if b.crashes {
 			time.AfterFunc(crashDelay, w.crash)
 		}
-		w.checker.recordStart(q.Task, q.Run, w.id, r.Header.Get(lateHeader) != "")
+		w.checker.recordStart(q.Task, q.Run, w.id, r.Header.Get(delayedHeader) != "")
 		writeJSON(rw, http.StatusOK, map[string]int64{"clock_ms": w.clockMs()})
 	}
 }
@@ -161,7 +161,7 @@
 	w.fence = q.Fence
 	w.highestRun[q.Task] = max(w.highestRun[q.Task], q.Run)
 	if o := w.runs[q.Task]; o != nil && o.number == q.Run {
-		w.stop(q.Task, o, r.Header.Get(lateHeader) != "")
+		w.stop(q.Task, o, r.Header.Get(delayedHeader) != "")
 	}
 	writeJSON(rw, http.StatusOK, map[string]int64{"clock_ms": w.clockMs()})
 }
--- a/job/admission_policy_test.go
+++ b/job/admission_policy_test.go
@@ -48,7 +48,7 @@
 // run advances the time, with all starts answered at once, and returns how many there were.
 func (f *fixture) run(d time.Duration) (started int) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		for _, s := range f.starts() {
 			f.acceptStart(s)
 			started++
@@ -149,7 +149,7 @@
 	policy := f.publishedPolicy()
 	require.Equal(t, f.core.fence, policy.Fence)
 	require.Contains(t, policy.Admissions, quick, "limited as before")
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Contains(t, f.publishedPolicy().Admissions, quick)
 }
 
@@ -216,7 +216,7 @@
 	started := map[ID]bool{}
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.arrive(2)
-		h.pass(tickEvery)
+		h.advance(tickEvery)
 		for _, s := range h.starts() {
 			h.acceptStart(s)
 			id, _, _ := strings.Cut(s.Order.Task, ".")
--- a/job/advice.go
+++ b/job/advice.go
@@ -32,8 +32,8 @@
 type RequestAdvice struct {
 	Step    string
 	Workers []platform.WorkerID
-	// Terms say how long the service takes to answer.
-	Terms platform.AdviceTimes
+	// Times say how long the service takes to answer.
+	Times platform.AdviceTimes
 	Key   taskKey
 }
 
@@ -87,7 +87,7 @@
 	}
 	a.pending = true
 	l = l[:min(len(l), platform.MaxAdviceWorkers)]
-	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Terms: *s.instance.job.queue.Advice, Key: s.tasks[0].key()})
+	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Times: *s.instance.job.queue.Advice, Key: s.tasks[0].key()})
 }
 
 // ruledOut reports whether the advice service has ruled the worker out.
--- a/job/availability_test.go
+++ b/job/availability_test.go
@@ -20,14 +20,14 @@
 	runs := threeReady(f)
 	f.join("w4")
 	f.drain("w1")
-	f.pass(2 * tickEvery)
+	f.advance(2 * tickEvery)
 	require.Len(t, f.stops(), 1, "the run on w1 is stopped")
 	moved := f.moveFrom("w1", runs)
 	delete(runs, "w2")
 	percent := 0
 	warm := func(d time.Duration) {
 		for end := f.now.Add(d); f.now.Before(end); {
-			f.pass(200 * time.Millisecond)
+			f.advance(200 * time.Millisecond)
 			f.pollAll(runs)
 			if _, ok := f.polls[moved.Worker.ID]; ok && percent < 90 {
 				percent += 5
@@ -51,7 +51,7 @@
 	}
 	f.answer(string(id), platform.PollReply{Ended: []platform.EndedRow{ended(1, runs[id], platform.EndStopped)}})
 	delete(runs, id)
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	l := f.starts()
 	require.Len(f.t, l, 1)
 	f.acceptStart(l[0])
@@ -65,10 +65,10 @@
 	runs = threeReady(f)
 	f.join("w4")
 	f.drain("w1")
-	f.pass(2 * tickEvery)
+	f.advance(2 * tickEvery)
 	f.step(StopResult{Worker: "w1", Run: runs["w1"].Order.Run, Task: runs["w1"].Order.Task, Clock: f.clock})
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, runs["w1"], platform.EndStopped)}})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	l := f.starts()
 	require.Len(f.t, l, 1)
 	delete(runs, "w1")
@@ -91,19 +91,19 @@
 func TestUnconfirmedStartIsStoppedOnlyWhenKnownAbsent(t *testing.T) {
 	f := newFixture(t)
 	runs, moved := missPolls(f)
-	f.pass(pollFreshFor)
+	f.advance(pollFreshFor)
 	f.pollAll(runs)
 	f.loseStartReply(moved)
 	for range 2 {
-		f.pass(400 * time.Millisecond)
+		f.advance(400 * time.Millisecond)
 		f.pollAll(runs)
 		if _, ok := f.polls["w4"]; ok {
 			f.answerLate("w4", 400*time.Millisecond, platform.PollReply{})
 		}
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 	}
 	require.Empty(t, f.stops(), "it may be ready by now, and the task of w2 may be unavailable")
-	f.pass(400 * time.Millisecond)
+	f.advance(400 * time.Millisecond)
 	f.answer("w4", platform.PollReply{})
 	require.Len(t, f.stops(), 1, "it is known to be absent now")
 }
@@ -115,14 +115,14 @@
 	f.acceptStart(moved)
 	reply := platform.PollReply{Running: []platform.RunningRow{runningRow(moved, 40)}}
 	for range 9 {
-		f.pass(400 * time.Millisecond)
+		f.advance(400 * time.Millisecond)
 		f.pollAll(runs)
 		if _, ok := f.polls["w4"]; ok {
 			f.answerLate("w4", 400*time.Millisecond, reply)
 		}
 	}
 	require.Empty(t, f.stops(), "it may be ready by now, and the task of w2 may be unavailable")
-	f.pass(400 * time.Millisecond)
+	f.advance(400 * time.Millisecond)
 	f.answer("w4", reply)
 	require.Len(t, f.stops(), 1)
 	require.Equal(t, "it makes no progress", f.logged("stop")[0].Why)
@@ -140,7 +140,7 @@
 		f.loseStartReply(r)
 	}
 	for range 20 {
-		f.pass(400 * time.Millisecond)
+		f.advance(400 * time.Millisecond)
 		if _, ok := f.polls["w1"]; ok {
 			f.answerLate("w1", 400*time.Millisecond, platform.PollReply{})
 		}
@@ -157,7 +157,7 @@
 	w1 := runs["w1"]
 	f.join("w4")
 	f.drain("w1")
-	f.pass(2 * tickEvery)
+	f.advance(2 * tickEvery)
 	require.Len(t, f.stops(), 1)
 	delete(runs, "w2")
 	f.passReady(runs, pollFreshFor)
@@ -205,26 +205,26 @@
 	f.step(WorkerListed{Worker: testWorker("w2")})
 	for f.now.Before(f.core.evacuateFrom.Add(-100 * time.Millisecond)) {
 		answer("w2", 1)
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 	}
 	answer("w1", 0)
 	adopted := f.now
 	f.join("w3")
 	f.drain("w2")
 	for range 10 {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		answer("w2", 1)
 	}
 	require.Empty(t, f.stops(), "the previous owner may have stopped the other one")
 	for range 10 {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		answer("w2", 1)
 		if f.now.After(adopted.Add(maxStopTime)) {
 			answer("w1", 0)
 		}
 	}
-	f.pass(pollWait)
+	f.advance(pollWait)
 	answer("w1", 0)
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.NotEmpty(t, f.stops())
 }
--- a/job/caller_handler.go
+++ b/job/caller_handler.go
@@ -219,7 +219,7 @@
 func (h callerHandler) cancel(ctx context.Context, w http.ResponseWriter, id ID) {
 	known, err := h.node.cancel(ctx, id)
 	switch {
-	case errors.Is(err, platform.ErrUnknown):
+	case errors.Is(err, platform.ErrUnknownOutcome):
 		writeProblem(w, http.StatusGatewayTimeout, "it is not known yet whether the job was cancelled: ask again", common.MayHaveRun)
 	case err != nil:
 		h.refuse(w, "the job was not cancelled: the store is not reached")
--- a/job/cancel_test.go
+++ b/job/cancel_test.go
@@ -24,11 +24,11 @@
 }
 
 func (f *fixture) loseStartReply(s StartRun) {
-	f.step(StartResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: platform.ErrUnknownOutcome})
 }
 
 func (f *fixture) loseStopReply(s StartRun) {
-	f.step(StopResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: platform.ErrUnknown})
+	f.step(StopResult{Worker: s.Worker.ID, Run: s.Order.Run, Task: s.Order.Task, Err: platform.ErrUnknownOutcome})
 }
 
 // lastingTask returns a step of one task that runs until its job is cancelled.
@@ -48,10 +48,10 @@
 	f.loseStartReply(l[0])
 	f.step(CancelRequested{ID: idA})
 	require.Equal(t, 1, f.stopsOf(l[0].Order.Run), "the order to stop is sent at once, and prevents a late start")
-	f.pass(orderTimeout)
+	f.advance(orderTimeout)
 	f.loseStopReply(l[0])
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
-	f.pass(settleAfter + 2*tickEvery)
+	f.advance(settleAfter + 2*tickEvery)
 	require.Equal(t, 2, f.stopsOf(l[0].Order.Run))
 }
 
@@ -64,15 +64,15 @@
 	l := f.starts()
 	f.loseStartReply(l[0])
 	f.step(CancelRequested{ID: idA})
-	f.fail("w1", platform.ErrUnknown)
+	f.fail("w1", platform.ErrUnknownOutcome)
 	for f.core.workers["w1"].findRun(taskKey{id: idA}, l[0].Order.Run) != nil {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		if _, ok := f.polls["w1"]; ok {
-			f.fail("w1", platform.ErrUnknown)
+			f.fail("w1", platform.ErrUnknownOutcome)
 		}
 	}
 	sent := f.stopsOf(l[0].Order.Run)
-	f.pass(pollRetry)
+	f.advance(pollRetry)
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 	require.Equal(t, sent+1, f.stopsOf(l[0].Order.Run))
 }
@@ -101,9 +101,9 @@
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(late, 100)}})
 			require.Equal(t, 1, f.stopsOf(7))
 			require.Empty(t, f.starts())
-			f.pass(orderTimeout)
+			f.advance(orderTimeout)
 			f.loseStopReply(late)
-			f.pass(2 * tickEvery)
+			f.advance(2 * tickEvery)
 			require.Equal(t, 2, f.stopsOf(7))
 		})
 	}
@@ -115,8 +115,8 @@
 	f := newOwnerFixture(t, 200)
 	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}})
 	for range 10 {
-		f.fail("w1", platform.ErrUnknown)
-		f.pass(pollRetry + tickEvery)
+		f.fail("w1", platform.ErrUnknownOutcome)
+		f.advance(pollRetry + tickEvery)
 	}
 	late := StartRun{Worker: testWorker("w1"), Order: platform.StartOrder{Task: taskKey{id: idA}.String(), Run: 7}}
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(late, 100)}})
@@ -140,10 +140,10 @@
 		ends = append(ends, ended(int64(i+1), l, platform.EndDone))
 	}
 	require.Len(t, ends, jobsPerWrite+1)
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.answer("w1", platform.PollReply{Ended: ends})
 	f.step(CancelRequested{ID: idA})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	final := false
 	for _, a := range f.out {
 		write, ok := a.(WriteStore)
@@ -167,7 +167,7 @@
 	f := newFixture(t)
 	f.join("w1")
 	lastClock := f.clock
-	f.pass(time.Minute)
+	f.advance(time.Minute)
 	f.submit(idA, "quick", oneTask())
 	leaseUntil := f.starts()[0].Order.LeaseUntil
 	slowClock := lastClock + platform.WorkerClock(0.98*float64(f.clock-lastClock))
@@ -183,7 +183,7 @@
 	late := StartRun{Worker: testWorker("w1"), Order: platform.StartOrder{Task: taskKey{id: idA}.String(), Run: 7}}
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(late, 100)}})
 	f.step(StopResult{Worker: "w1", Run: 7, Task: late.Order.Task, Clock: f.clock})
-	f.pass(2 * tickEvery)
+	f.advance(2 * tickEvery)
 	require.Equal(t, pollWait, f.polls["w1"].Order.Wait)
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, late, platform.EndStopped)}})
 	require.Empty(t, f.core.workers["w1"].orphans)
--- a/job/capacity_test.go
+++ b/job/capacity_test.go
@@ -31,12 +31,12 @@
 	}
 	f.step(shrunk(2000))
 	f.submit(idB, "quick", oneTask())
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answer("w1", platform.PollReply{
 		Running: []platform.RunningRow{runningRow(l[2], 10), runningRow(l[3], 10)},
 		Ended:   []platform.EndedRow{ended(1, l[0], platform.EndDone), ended(2, l[1], platform.EndDone)},
 	})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Empty(t, f.starts(), "two tasks fill the reduced capacity")
 	f.step(shrunk(3000))
 	require.Len(t, f.starts(), 1)
@@ -57,7 +57,7 @@
 	f.step(CancelRequested{ID: idA})
 	f.submit(idB, "quick", oneTask())
 	require.Empty(t, f.starts())
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndStopped)}, Running: []platform.RunningRow{runningRow(l[1], 1), runningRow(l[2], 1)}})
 	require.Len(t, f.starts(), 1)
 }
@@ -85,6 +85,6 @@
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{
 		{Task: idA + ".0.0.0", Run: 7}, {Task: idA + ".0.0.1", Run: 8},
 	}})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	return f
 }
--- a/job/core_test.go
+++ b/job/core_test.go
@@ -106,16 +106,16 @@
 	}
 }
 
-// pass advances the time in steps of one tick, and renews the owner's lease.
-func (f *fixture) pass(d time.Duration) {
+// advance advances the time in steps of one tick, and renews the owner's lease.
+func (f *fixture) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step(LeaseRenewed{SentAt: f.now.Add(tickEvery)})
-		f.passWithoutStore(tickEvery)
+		f.advanceWithoutStore(tickEvery)
 	}
 }
 
-// passWithoutStore advances the time without renewing the owner's lease.
-func (f *fixture) passWithoutStore(d time.Duration) {
+// advanceWithoutStore advances the time without renewing the owner's lease.
+func (f *fixture) advanceWithoutStore(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(tickEvery)
 		f.clock += platform.WorkerClock(tickEvery.Milliseconds())
@@ -191,14 +191,14 @@
 
 // state returns the state of the job idA after a tick, in which due writes are made.
 func (f *fixture) state() platform.JobState {
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	s, ok := f.core.StateOf(idA)
 	require.True(f.t, ok)
 	return s
 }
 
 func ended(n int64, s StartRun, how platform.End) platform.EndedRow {
-	return platform.EndedRow{Number: n, Task: s.Order.Task, Run: s.Order.Run, How: how}
+	return platform.EndedRow{Number: n, Task: s.Order.Task, Run: s.Order.Run, End: how}
 }
 
 func runningRow(s StartRun, percent int) platform.RunningRow {
@@ -228,7 +228,7 @@
 	require.Len(t, next, 2)
 	f.acceptStart(next[0])
 	f.acceptStart(next[1])
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(2, next[0], platform.EndDone), ended(3, next[1], platform.EndDone)}})
 	require.Equal(t, platform.StateRunning, f.state(), "the store does not hold the end yet")
@@ -244,14 +244,14 @@
 	f.acceptStart(l[0])
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
-	f.pass(pollWait + 200*time.Millisecond)
+	f.advance(pollWait + 200*time.Millisecond)
 	if a, ok := f.polls["w1"]; ok {
 		require.Zero(t, a.Order.LastAcked)
 		f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
 	}
 	f.holdWrites = false
 	f.step(WriteResult{Number: f.core.writeNumber})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.EqualValues(t, 1, f.polls["w1"].Order.LastAcked)
 }
 
@@ -260,10 +260,10 @@
 	f.join("w1", "w2")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknownOutcome})
 	id := string(l[0].Worker.ID)
 	for range 10 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		if _, ok := f.polls[platform.WorkerID(id)]; ok {
 			f.answer(id, platform.PollReply{})
 		}
@@ -273,7 +273,7 @@
 	require.NotEmpty(t, s)
 	require.Equal(t, l[0].Order.Run, s[0].Run)
 	f.step(StopResult{Worker: s[0].Worker.ID, Run: s[0].Run, Task: s[0].Task, Clock: f.clock})
-	f.pass(50 * time.Millisecond)
+	f.advance(50 * time.Millisecond)
 	f.answer(id, platform.PollReply{})
 	next := f.starts()
 	require.Len(t, next, 1)
@@ -285,10 +285,10 @@
 	f.join("w1")
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
-	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknown})
-	f.pass(50 * time.Millisecond)
+	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknownOutcome})
+	f.advance(50 * time.Millisecond)
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 10)}})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Empty(t, f.stops())
 }
 
@@ -300,13 +300,13 @@
 	f.acceptStart(l[0])
 	f.join("w2")
 	began := f.now
-	f.fail("w1", platform.ErrUnknown)
+	f.fail("w1", platform.ErrUnknownOutcome)
 	for len(f.starts()) == 0 {
 		require.Less(t, f.now.Sub(began), 2*leaseFor, "the run is never given up")
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		if _, ok := f.polls["w1"]; ok {
 			require.Zero(t, f.polls["w1"].Order.LeaseUntil, "a poll of a silent worker extends its lease")
-			f.fail("w1", platform.ErrUnknown)
+			f.fail("w1", platform.ErrUnknownOutcome)
 		}
 	}
 	require.GreaterOrEqual(t, f.now.Sub(began), leaseFor)
@@ -321,10 +321,10 @@
 	s := f.starts()[0]
 	f.acceptStart(s)
 	f.join("w2")
-	f.passWithoutStore(time.Second)
+	f.advanceWithoutStore(time.Second)
 	f.fail("w1", common.ErrUnknownOutcome)
 	for range 80 {
-		f.passWithoutStore(100 * time.Millisecond)
+		f.advanceWithoutStore(100 * time.Millisecond)
 		if _, ok := f.polls["w1"]; ok {
 			f.fail("w1", common.ErrUnknownOutcome)
 		}
@@ -346,7 +346,7 @@
 	f.clock = 500
 	f.step(PollResult{Worker: "w1", SentAt: f.now, Poll: platform.PollReply{Clock: f.clock}})
 	f.fail("w1", common.ErrUnknownOutcome)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Empty(t, f.starts(), "its lease lasts four seconds")
 }
 
@@ -370,7 +370,7 @@
 	again := next.starts()
 	require.Len(t, again, 1)
 	next.acceptStart(again[0])
-	next.pass(100 * time.Millisecond)
+	next.advance(100 * time.Millisecond)
 	next.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(2, again[0], platform.EndFailed)}})
 	require.Equal(t, platform.StateFailed, next.state())
 }
@@ -463,11 +463,11 @@
 		Spec: "s", Steps: []platform.Step{oneTask()}, Times: 2, First: f.now.Add(time.Second), Every: time.Second,
 	}, f.now)
 	f.step(Accepted{ID: idA, Record: r, Created: 1000})
-	f.pass(900 * time.Millisecond)
+	f.advance(900 * time.Millisecond)
 	require.Empty(t, f.starts())
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Len(t, f.starts(), 1)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.starts(), 1)
 }
 
@@ -495,7 +495,7 @@
 			l := f.starts()
 			f.acceptStart(l[0])
 			f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], how)}})
-			f.pass(shortRunRestartDelay + 100*time.Millisecond)
+			f.advance(shortRunRestartDelay + 100*time.Millisecond)
 			require.Len(t, f.starts(), 1)
 		})
 	}
@@ -519,7 +519,7 @@
 	f.submit(idA, "quick", oneTask())
 	l := f.starts()
 	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrRefused})
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	next := f.starts()
 	require.Len(t, next, 1)
 	require.NotEqual(t, l[0].Worker.ID, next[0].Worker.ID)
@@ -533,11 +533,11 @@
 	f.acceptStart(l[0])
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.step(WriteResult{Number: f.core.writeNumber, Err: errors.New("store is unreachable")})
 	require.Equal(t, platform.StateRunning, f.state())
 	f.holdWrites = false
-	f.pass(2 * writeRetry)
+	f.advance(2 * writeRetry)
 	require.Equal(t, platform.StateSucceeded, f.state())
 }
 
@@ -549,7 +549,7 @@
 	f.acceptStart(l[0])
 	id := string(l[0].Worker.ID)
 	for range 20 {
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		if _, ok := f.polls[l[0].Worker.ID]; ok {
 			f.answer(id, platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 10)}})
 		}
@@ -570,7 +570,7 @@
 	l := f.starts()
 	f.acceptStart(l[0])
 	f.acceptStart(l[1])
-	f.pass(time.Second)
+	f.advance(time.Second)
 	id := string(l[0].Worker.ID)
 	rows := []platform.RunningRow{runningRow(l[0], 10)}
 	if l[1].Worker.ID == l[0].Worker.ID {
@@ -587,9 +587,9 @@
 	f.submit(idA, "quick", oneTask())
 	f.step(CancelRequested{ID: idA})
 	require.Equal(t, platform.StateCancelled, f.state())
-	f.pass(2 * time.Minute)
+	f.advance(2 * time.Minute)
 	require.Contains(t, f.core.jobs, ID(idA))
-	f.pass(90 * time.Second)
+	f.advance(90 * time.Second)
 	require.NotContains(t, f.core.jobs, ID(idA))
 	var removed []string
 	for _, a := range f.out {
@@ -618,10 +618,10 @@
 				w := f.core.workers[platform.WorkerID(id)]
 				w.missedPolls = max(1, w.missedPolls)
 				if _, ok := f.polls[w.ID]; ok {
-					f.fail(id, platform.ErrUnknown)
+					f.fail(id, platform.ErrUnknownOutcome)
 				}
 			}
-			f.pass(200 * time.Millisecond)
+			f.advance(200 * time.Millisecond)
 		}
 	}
 	silence(4)
@@ -642,7 +642,7 @@
 		f.acceptStart(s)
 		rows = append(rows, runningRow(s, 20))
 	}
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.answer("w1", platform.PollReply{Running: rows})
 	require.Empty(t, f.stops())
 	require.EqualValues(t, 3000, f.core.workers["w1"].used.MilliCores)
@@ -661,18 +661,18 @@
 	l := f.starts()
 	f.acceptStart(l[0])
 	f.join("w2")
-	f.fail("w1", platform.ErrUnknown)
+	f.fail("w1", platform.ErrUnknownOutcome)
 	var again []StartRun
 	for len(again) == 0 {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		if _, ok := f.polls["w1"]; ok {
-			f.fail("w1", platform.ErrUnknown)
+			f.fail("w1", platform.ErrUnknownOutcome)
 		}
 		again = f.starts()
 	}
 	f.acceptStart(again[0])
 	for range 5 {
-		f.pass(300 * time.Millisecond)
+		f.advance(300 * time.Millisecond)
 		if a, ok := f.polls["w1"]; ok {
 			require.Zero(t, a.Order.LastAcked)
 			f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
@@ -681,7 +681,7 @@
 	require.Equal(t, platform.StateRunning, f.state(), "the end of the restarted run decides")
 	f.answer("w2", platform.PollReply{Ended: []platform.EndedRow{ended(1, again[0], platform.EndDone)}})
 	require.Equal(t, platform.StateSucceeded, f.state())
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	if a, ok := f.polls["w1"]; ok {
 		require.Zero(t, a.Order.LastAcked)
 	}
--- a/job/crash_lasting_test.go
+++ b/job/crash_lasting_test.go
@@ -31,7 +31,7 @@
 	for n := range crashes {
 		id := fmt.Sprint("crashes-", n)
 		f.join(id)
-		f.pass(2 * tickEvery)
+		f.advance(2 * tickEvery)
 		l := f.starts()
 		require.Len(f.t, l, 1, "start %d", n)
 		f.acceptStart(l[0])
--- a/job/crash_test.go
+++ b/job/crash_test.go
@@ -64,7 +64,7 @@
 // Other tasks succeed after half a second.
 func (f *crashing) simulate(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		f.applyWrites()
 		for _, s := range f.starts() {
 			if f.core.workers[s.Worker.ID] == nil {
@@ -102,7 +102,7 @@
 				continue
 			}
 			n++
-			l.Ended = append(l.Ended, platform.EndedRow{Number: n, Task: row.Task, Run: row.Run, How: platform.EndDone})
+			l.Ended = append(l.Ended, platform.EndedRow{Number: n, Task: row.Task, Run: row.Run, End: platform.EndDone})
 		}
 		f.answer(string(id), l)
 	}
@@ -186,9 +186,9 @@
 	l := f.starts()
 	require.Len(t, l, 1)
 	require.True(t, strings.HasPrefix(l[0].Order.Task, idA))
-	f.pass(startupWindow - tickEvery)
+	f.advance(startupWindow - tickEvery)
 	require.Empty(t, f.starts())
-	f.pass(2 * tickEvery)
+	f.advance(2 * tickEvery)
 	require.Len(t, f.starts(), 1)
 }
 
@@ -205,7 +205,7 @@
 		require.Len(t, l, 1)
 		f.acceptStart(l[0])
 		for f.now.Before(f.core.task(taskKey{id: idA}).runs[0].sentAt.Add(stableAfter + time.Second)) {
-			f.pass(pollWait)
+			f.advance(pollWait)
 			f.answer(id, platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 		}
 		f.fail(id, platform.ErrOtherIncarnation)
@@ -223,7 +223,7 @@
 		require.NotEqual(t, platform.StateFailed, f.state(), "after %d crashes", n-1)
 		id := fmt.Sprint("worker-", n)
 		f.join(id)
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		l := f.starts()
 		require.Len(t, l, 1)
 		f.loseStartReply(l[0])
--- a/job/ends.go
+++ b/job/ends.go
@@ -28,7 +28,7 @@
 func (c *Core) handleEnd(w *worker, e platform.EndedRow) bool {
 	id := rawRunID{task: e.Task, number: e.Run}
 	w.dropOrphan(id)
-	if w.abandoned[id] && e.How == platform.EndDone {
+	if w.abandoned[id] && e.End == platform.EndDone {
 		w.taint(e.Number)
 		c.emit(LogLine{What: "worker tainted", Worker: w.ID, Task: e.Task, Run: e.Run, Why: "an abandoned run has succeeded"})
 		return false
@@ -50,17 +50,17 @@
 	if e.Snapshot != "" && t.step.Checkpoints {
 		t.snapshot = e.Snapshot
 	}
-	c.emit(LogLine{What: "end", Job: k.id, Task: e.Task, Run: e.Run, Worker: w.ID, Why: string(e.How), Fields: []any{"number", e.Number}})
-	c.recordOutcome(w, t, e.How)
+	c.emit(LogLine{What: "end", Job: k.id, Task: e.Task, Run: e.Run, Worker: w.ID, Why: string(e.End), Fields: []any{"number", e.Number}})
+	c.recordOutcome(w, t, e.End)
 	if t.step.Lasting {
-		c.lastingEnded(t, r, e.How)
+		c.lastingEnded(t, r, e.End)
 		return false
 	}
-	if e.How == platform.EndDone {
+	if e.End == platform.EndDone {
 		c.taskDone(t, r)
 		return true
 	}
-	if e.How == platform.EndFailed {
+	if e.End == platform.EndFailed {
 		c.taskFailed(t, e.Run)
 		return true
 	}
--- a/job/flow_test.go
+++ b/job/flow_test.go
@@ -138,7 +138,7 @@
 	for range 20 {
 		f.core.flow.spend(1 << 20)
 		f.core.reorderAll()
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 	}
 	require.Zero(t, f.core.flow.startsHeldAt)
 	require.Zero(t, f.core.flow.startRate)
--- a/job/incarnation_test.go
+++ b/job/incarnation_test.go
@@ -42,10 +42,10 @@
 	return w
 }
 
-// listed has the first incarnation report its run.
-func (f *restartFixture) listed() {
+// reportRun has the first incarnation report its run.
+func (f *restartFixture) reportRun() {
 	f.acceptStart(f.run)
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answer(firstIncarnation, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 10)}})
 }
 
@@ -68,7 +68,7 @@
 
 func TestRestartSeenInRecordEndsEarlierRunsAtOnce(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.listed()
+	f.reportRun()
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	l := f.starts()
 	require.Len(t, l, 1, "the task starts elsewhere without waiting for a lease")
@@ -78,7 +78,7 @@
 
 func TestRestartSeenInAnswerEndsEarlierRunsAtOnce(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.listed()
+	f.reportRun()
 	f.answeredBy(firstIncarnation, 1700000000400, platform.PollReply{})
 	l := f.starts()
 	require.Len(t, l, 1)
@@ -94,15 +94,15 @@
 	l := f.starts()
 	f.acceptStart(l[0])
 	f.answer(firstIncarnation, platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	next := f.starts()
 	require.Len(t, next, 1)
-	f.step(StartResult{Worker: firstIncarnation, Run: next[0].Order.Run, Task: next[0].Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: firstIncarnation, Run: next[0].Order.Run, Task: next[0].Order.Task, Err: platform.ErrUnknownOutcome})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	require.Zero(t, f.polls[secondIncarnation].Order.LastAcked, "it has reported no end yet")
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, next[0], platform.EndDone)}})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Equal(t, platform.StateSucceeded, f.state())
 }
 
@@ -115,69 +115,69 @@
 	l := f.starts()
 	f.acceptStart(l[0])
 	f.answer(firstIncarnation, platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.acceptStart(f.starts()[0])
 	require.EqualValues(t, 1, f.core.workers[firstIncarnation].lastEndStored)
-	f.fail(firstIncarnation, platform.ErrUnknown)
-	f.pass(2 * pollRetry)
+	f.fail(firstIncarnation, platform.ErrUnknownOutcome)
+	f.advance(2 * pollRetry)
 	require.Zero(t, f.polls[firstIncarnation].Order.LastAcked)
 }
 
 func TestUnansweredStartIsSettledAtNextIncarnation(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.step(StartResult{Worker: firstIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: firstIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task, Err: platform.ErrUnknownOutcome})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
 	require.Empty(t, f.starts(), "it may be carried out late")
-	f.pass(settleAfter + tickEvery)
+	f.advance(settleAfter + tickEvery)
 	l := f.stops()
 	require.NotEmpty(t, l)
 	require.EqualValues(t, secondIncarnation, l[0].Worker.ID)
 	f.step(StopResult{Worker: secondIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Len(t, f.starts(), 1)
 }
 
 func TestStartThatTheNextIncarnationCarriesOutGoesOn(t *testing.T) {
 	f := newRestartFixture(t, "w2")
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 5)}})
 	f.acceptStart(f.run)
 	require.Empty(t, f.starts())
 	require.Empty(t, f.stops())
-	f.pass(pollWait)
+	f.advance(pollWait)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, f.run, platform.EndDone)}})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Equal(t, platform.StateSucceeded, f.state())
 }
 
 func TestLateRecordOfEarlierIncarnationIsIgnored(t *testing.T) {
 	f := newRestartFixture(t)
-	f.listed()
+	f.reportRun()
 	f.answeredBy(firstIncarnation, 1700000000400, platform.PollReply{})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
 	f.step(WorkerListed{Worker: onHost(firstIncarnation)})
 	require.NotContains(t, f.core.workers, platform.WorkerID(firstIncarnation))
 	require.Equal(t, 1, f.countLogged("worker record ignored"))
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.NotEmpty(t, f.starts(), "it accepts starts once its own record is there")
 }
 
 // An invalid start time does not prove that another incarnation is running.
 func TestInvalidStartTimeLosesNoRun(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.listed()
+	f.reportRun()
 	w := onHost("w1")
 	w.InvalidStartReason = "start \"soon\" is not a whole number"
 	f.step(WorkerListed{Worker: w})
 	for range 3 {
-		f.pass(pollWait)
+		f.advance(pollWait)
 		f.answer(firstIncarnation, platform.PollReply{ReportedStart: platform.ReportedStart{InvalidReason: "start -1 is out of range"}, Running: []platform.RunningRow{runningRow(f.run, 20)}})
 	}
 	require.Empty(t, f.starts())
@@ -188,8 +188,8 @@
 // The machine list names workers, not their incarnations.
 func TestMachineListDoesNotIdentifyIncarnations(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.listed()
-	f.pass(time.Second)
+	f.reportRun()
+	f.advance(time.Second)
 	f.listMachines(platform.Machine{Name: "host-of-" + firstIncarnation, Pool: "blue", State: platform.MachineUp, Worker: "w1"}, machineOf("w2", "blue"))
 	require.False(t, f.core.workers[firstIncarnation].stale)
 	require.Empty(t, f.starts())
@@ -198,17 +198,17 @@
 // A crash is counted once, however many signs of it there are.
 func TestRestartIsOneCrash(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.step(StartResult{Worker: firstIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: firstIncarnation, Run: f.run.Order.Run, Task: f.run.Order.Task, Err: platform.ErrUnknownOutcome})
 	f.answeredBy(firstIncarnation, 1700000000400, platform.PollReply{})
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	f.step(WorkerListed{Worker: onHost("w1@1700000000600")})
 	last := "w1@1700000000600"
-	f.pass(settleAfter + 2*tickEvery)
+	f.advance(settleAfter + 2*tickEvery)
 	f.answeredBy(last, 1700000000600, platform.PollReply{})
 	require.Zero(t, f.countLogged("crash counted"), "the start may still be carried out")
-	f.pass(settleAfter + 2*tickEvery)
+	f.advance(settleAfter + 2*tickEvery)
 	f.step(StopResult{Worker: platform.WorkerID(last), Run: f.run.Order.Run, Task: f.run.Order.Task})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(last, 1700000000600, platform.PollReply{})
 	require.Equal(t, 1, f.countLogged("crash counted"), "the start may have been carried out by one of them")
 }
@@ -218,16 +218,16 @@
 	f := newRestartFixture(t, "w2")
 	f.acceptStart(f.run)
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 1)}})
-	f.pass(pollWait)
+	f.advance(pollWait)
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{Ended: []platform.EndedRow{ended(1, f.run, platform.EndDone)}})
 	require.Zero(t, f.countLogged("crash counted"))
 }
 
 func TestRestartAfterDrainCountsNoCrash(t *testing.T) {
 	f := newRestartFixture(t, "w2")
-	f.listed()
+	f.reportRun()
 	w := onHost(firstIncarnation)
 	w.Draining = true
 	f.step(WorkerListed{Worker: w})
@@ -239,14 +239,14 @@
 // The clock of the next incarnation restarts, and so do the leases on it.
 func TestLeaseUsesClockOfNextIncarnation(t *testing.T) {
 	f := newRestartFixture(t)
-	f.listed()
+	f.reportRun()
 	f.clock = 90_000_000
-	f.pass(pollWait)
+	f.advance(pollWait)
 	f.answer(firstIncarnation, platform.PollReply{Running: []platform.RunningRow{runningRow(f.run, 20)}})
 	f.clock = 20
 	f.step(WorkerListed{Worker: onHost(secondIncarnation)})
 	f.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	l := f.starts()
 	require.NotEmpty(t, l)
 	require.EqualValues(t, secondIncarnation, l[0].Worker.ID)
@@ -257,7 +257,7 @@
 // yet. The next owner polls that one before it starts tasks that the earlier owner knew of.
 func TestNextOwnerPollsNextIncarnationFirst(t *testing.T) {
 	f := newRestartFixture(t)
-	f.listed()
+	f.reportRun()
 	h := newOwnerFixture(t, 200)
 	r := NewRecord(f.core.queues["quick"], platform.Submission{Spec: "spec", Steps: []platform.Step{oneTask()}}, f.now)
 	h.step(Inherited{
@@ -266,10 +266,10 @@
 	})
 	h.answer("w2", platform.PollReply{})
 	h.step(WorkerListed{Worker: onHost(secondIncarnation)})
-	h.pass(time.Second)
+	h.advance(time.Second)
 	require.Empty(t, h.starts())
 	h.answeredBy(secondIncarnation, 1700000000400, platform.PollReply{})
-	h.pass(200 * time.Millisecond)
+	h.advance(200 * time.Millisecond)
 	require.Len(t, h.starts(), 1)
 }
 
@@ -281,7 +281,7 @@
 	f.now = f.now.Add(4 * time.Second)
 	f.submit(idA, "quick", oneTask())
 	require.Empty(t, f.starts())
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.Len(t, f.starts(), 1)
 }
 
@@ -291,15 +291,15 @@
 	f.join(firstIncarnation)
 	m := platform.Machine{Name: "host-of-" + firstIncarnation, Pool: "blue", State: platform.MachineUp, Worker: "w1"}
 	f.listMachines(m)
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.core.recordOrder(f.core.machinesByName[m.Name], &machineOrder{pool: "green"})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.step(MachineOrderResult{Machine: m.Name, Verdict: platform.OrderAccepted})
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.listMachines(m)
 	f.submit(idA, "quick", oneTask())
 	require.Empty(t, f.starts(), "not before it has answered")
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.answeredBy(firstIncarnation, 1700000000400, platform.PollReply{})
 	require.NotContains(t, f.core.workers, platform.WorkerID(firstIncarnation))
 }
@@ -308,7 +308,7 @@
 // one, so both are polled. The removal of the record concerns both.
 func TestRemovedRecordUnlistsEachIncarnation(t *testing.T) {
 	f := newRestartFixture(t)
-	f.listed()
+	f.reportRun()
 	f.answeredBy(firstIncarnation, 1700000000400, platform.PollReply{})
 	third := "w1@1700000000700"
 	f.step(WorkerListed{Worker: onHost(third)})
--- a/job/intake.go
+++ b/job/intake.go
@@ -114,7 +114,7 @@
 		case errors.Is(err, platform.ErrConflict):
 			l = i.settleStored(l, found)
 			continue
-		case errors.Is(err, platform.ErrUnknown):
+		case errors.Is(err, platform.ErrUnknownOutcome):
 			for _, a := range l {
 				a.mayBeStored = true
 			}
--- a/job/lasting_log_test.go
+++ b/job/lasting_log_test.go
@@ -50,7 +50,7 @@
 // passReady lets time pass while all runs are reported as ready.
 func (f *fixture) passReady(runs map[platform.WorkerID]StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		f.pollAll(runs)
 	}
 }
@@ -76,16 +76,16 @@
 	runs := threeReady(f)
 	f.join("w4")
 	f.drain("w1")
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	n := f.logged("stop")
 	require.Len(t, n, 1)
 	require.Equal(t, 0, n[0].field("away"))
 	require.Equal(t, 1, n[0].field("may_miss"))
 	require.Equal(t, true, n[0].field("at_work"))
 	f.drain("w2")
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.pollAll(runs)
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	deferred := f.logged("stop deferred")
 	require.Len(t, deferred, 1, "logged once")
 	require.Equal(t, []int{runs["w1"].index()}, deferred[0].field("away_tasks"))
--- a/job/loss_test.go
+++ b/job/loss_test.go
@@ -34,14 +34,14 @@
 		}, lossLeft},
 		"record removed before it fell silent": {func(f *fixture) {
 			f.step(WorkerUnlisted{Name: "w1"})
-			f.pass(tickEvery)
+			f.advance(tickEvery)
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: f.core.lastRun}}})
 			f.fail("w1", platform.ErrOtherIncarnation)
 		}, lossLeft},
 		"lease expired": {func(f *fixture) {
 			for range 30 {
-				f.fail("w1", platform.ErrUnknown)
-				f.pass(pollRetry)
+				f.fail("w1", platform.ErrUnknownOutcome)
+				f.advance(pollRetry)
 			}
 		}, lossExpired},
 		"order": {func(f *fixture) {
@@ -57,7 +57,7 @@
 			l := f.starts()
 			require.Len(t, l, 1)
 			f.acceptStart(l[0])
-			f.pass(tickEvery)
+			f.advance(tickEvery)
 			c.do(f)
 			require.EqualValues(t, c.want, f.lossOf())
 		})
--- a/job/machine_late_test.go
+++ b/job/machine_late_test.go
@@ -45,18 +45,18 @@
 	m := fencedMachine{pool: host.Pool}
 	f.listMachines(host)
 	f.core.orderMove(f.core.machinesByName[host.Name], "blue", &demand{})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	delayed := f.lastMove()
 	f.step(MachineOrderResult{Machine: host.Name, Err: common.ErrUnknownOutcome})
-	f.pass(orderRetry + tickEvery)
+	f.advance(orderRetry + tickEvery)
 	require.Len(t, f.moves(), 2, "an unanswered move is repeated")
 	require.Equal(t, delayed, f.lastMove(), "as the same order")
 	f.step(MachineOrderResult{Machine: host.Name, Verdict: m.move(f.lastMove())})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.listMachines(machineOf("s1", "blue"))
 
 	f.core.orderMove(f.core.machinesByName[host.Name], "green", &demand{})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.Equal(t, platform.OrderAccepted, m.move(f.lastMove()))
 	require.Equal(t, platform.OrderFenced, m.move(delayed))
 	require.Equal(t, "green", m.pool)
@@ -70,13 +70,13 @@
 	host.Worker = ""
 	f.listMachines(host)
 	f.core.orderMove(f.core.machinesByName[host.Name], "blue", &demand{})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	last := f.lastMove().Holder.Fence
 	require.Equal(t, platform.Fence(f.revision), last)
 
 	next := newOwnerFixture(t, platform.Fence(f.revision+1))
 	next.listMachines(host)
 	next.core.orderMove(next.core.machinesByName[host.Name], "blue", &demand{})
-	next.pass(tickEvery)
+	next.advance(tickEvery)
 	require.Greater(t, next.lastMove().Holder.Fence, last)
 }
--- a/job/machine_orders.go
+++ b/job/machine_orders.go
@@ -43,7 +43,7 @@
 		if o.wave != nil {
 			c.noteWaveBegan(o.wave, m.Name)
 		}
-	case errors.Is(e.Err, platform.ErrUnknown):
+	case errors.Is(e.Err, platform.ErrUnknownOutcome):
 		// It may still be carried out. Sending the same order again is idempotent.
 		o.resendAt = c.now.Add(orderRetry)
 	case e.Verdict == platform.OrderFenced:
--- a/job/machines.go
+++ b/job/machines.go
@@ -178,7 +178,7 @@
 		m.Machine = v
 		c.noteUnknownWorker(m)
 		c.finishOrder(m, e.SentAt)
-		c.checkIncarnation(m, e.SentAt)
+		c.markStaleWorkers(m, e.SentAt)
 		if m.order != nil {
 			c.relistSoon()
 		}
@@ -191,10 +191,10 @@
 	return c.flow.listGap(len(c.machinesByName))
 }
 
-// checkIncarnation marks as stale the workers that, by the machine list, the machine no longer
+// markStaleWorkers marks as stale the workers that, by the machine list, the machine no longer
 // runs. A stale worker that is silent is removed at once. A worker that was heard from after the
 // list was requested may have started since, and is skipped.
-func (c *Core) checkIncarnation(m *machine, listSentAt time.Time) {
+func (c *Core) markStaleWorkers(m *machine, listSentAt time.Time) {
 	for _, w := range slices.Clone(c.workersByHost[m.Name]) {
 		other := m.Worker != w.ID.Name()
 		if other && w.heardFromSince(listSentAt) {
--- a/job/machines_test.go
+++ b/job/machines_test.go
@@ -48,20 +48,20 @@
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue"), machineOf("w3", "blue")}
 	f.listMachines(up...)
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, TimeLimit: 20 * time.Second, MaxDown: 1}})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	l := f.maintenanceOrders()
 	require.Len(t, l, 1)
 	f.step(MachineOrderResult{Machine: l[0].Machine})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.maintenanceOrders(), 1, "the first is still down")
 	f.listMachines(up...)
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	l = f.maintenanceOrders()
 	require.Len(t, l, 2)
 	f.step(MachineOrderResult{Machine: l[1].Machine})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.listMachines(up...)
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.True(t, f.core.waves[4].reported)
 }
 
@@ -70,10 +70,10 @@
 	f.step(WorkerListed{Worker: testWorker("w1")})
 	f.listMachines(machineOf("w1", "blue"))
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, TimeLimit: 20 * time.Second, MaxDown: 1}})
-	f.pass(handoverPause + time.Second)
+	f.advance(handoverPause + time.Second)
 	require.Empty(t, f.maintenanceOrders())
 	f.answer("w1", platform.PollReply{})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Len(t, f.maintenanceOrders(), 1)
 }
 
@@ -90,7 +90,7 @@
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, TimeLimit: 20 * time.Second, MaxDown: 1}})
 	for range 40 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 		}
@@ -105,7 +105,7 @@
 	m.Worker = ""
 	f.core.orderMove(m, "blue", &demand{})
 	sent := f.now
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.step(MachineOrderResult{Machine: m.Name})
 	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("", "spare")}})
 	require.NotNil(t, m.order)
@@ -127,7 +127,7 @@
 	other := f.core.workers[l[1].Worker.ID]
 	f.core.evacuate(w)
 	require.Empty(t, f.stops(), "the previous owner may have stopped one of them just now")
-	f.pass(evacuationDelay)
+	f.advance(evacuationDelay)
 	f.core.evacuate(w)
 	require.Empty(t, f.stops(), "the other's worker has not answered lately")
 	for _, r := range l {
@@ -143,7 +143,7 @@
 func TestLastingTasksThatHaveJustBegunAreNotEvacuatedTogether(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1")
-	f.pass(evacuationDelay)
+	f.advance(evacuationDelay)
 	s := oneTask()
 	s.Count, s.Lasting, s.MaxUnavailable = 2, true, 1
 	f.submit(idA, "quick", s)
@@ -156,7 +156,7 @@
 	rows := func(percent int) platform.PollReply {
 		return platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], percent), runningRow(l[1], percent)}}
 	}
-	f.pass(500 * time.Millisecond)
+	f.advance(500 * time.Millisecond)
 	if _, ok := f.polls["w1"]; ok {
 		f.answer("w1", rows(60))
 	}
@@ -164,7 +164,7 @@
 	f.step(Tick{})
 	require.Empty(t, f.stops())
 	for range 8 {
-		f.pass(500 * time.Millisecond)
+		f.advance(500 * time.Millisecond)
 		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", rows(60))
 		}
@@ -184,7 +184,7 @@
 	busy := f.starts()[0]
 	f.acceptStart(busy)
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{busy.Worker.Host}, TimeLimit: 20 * time.Second, MaxDown: 1}})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	s := oneTask()
 	s.Lasting = true
 	f.submit(idA, "quick", s)
@@ -208,7 +208,7 @@
 // passWhileReady lets time pass in which polls show the lasting run as ready.
 func (f *fixture) passWhileReady(r StartRun, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		if _, ok := f.polls[r.Worker.ID]; ok {
 			f.answer(string(r.Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
@@ -247,7 +247,7 @@
 	f.passWhileReady(r, evacuationDelay+time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	for range 40 {
-		f.passWithoutStore(100 * time.Millisecond)
+		f.advanceWithoutStore(100 * time.Millisecond)
 		if _, ok := f.polls[r.Worker.ID]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(r, 100)}})
 		}
@@ -263,13 +263,13 @@
 	r := lastingOn(f)
 	f.passWhileReady(r, time.Second)
 	f.fail("w1", common.ErrUnknownOutcome)
-	f.pass(listAfterSilence + tickEvery)
+	f.advance(listAfterSilence + tickEvery)
 	require.Contains(t, f.out, Action(ListMachines{}))
 	m := machineOf("w1", "blue")
 	m.State, m.Worker = platform.MachineDown, ""
 	f.out = nil
 	f.listMachines(m, machineOf("w2", "blue"))
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	require.Len(t, f.starts(), 1)
 }
 
@@ -279,11 +279,11 @@
 	spare := machineOf("s1", "spare")
 	spare.Worker = ""
 	f.listMachines(machineOf("w1", "blue"), spare)
-	f.pass(handoverPause + 100*time.Millisecond)
+	f.advance(handoverPause + 100*time.Millisecond)
 	s := oneTask()
 	s.Count = 8
 	f.submit(idA, "quick", s)
-	f.pass(300 * time.Millisecond)
+	f.advance(300 * time.Millisecond)
 	o := f.lastMove()
 	require.Greater(t, o.Holder.Fence, platform.Fence(100))
 	require.Equal(t, MoveMachine{Holder: platform.Holder{Name: "entry-1", Fence: o.Holder.Fence}, Machine: "host-of-s1", Pool: "blue"}, o)
@@ -293,7 +293,7 @@
 	f := newFixture(t)
 	f.join("w1", "w2")
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.pass(handoverPause + poolIdleTimeout + time.Second)
+	f.advance(handoverPause + poolIdleTimeout + time.Second)
 	l := f.moves()
 	require.NotEmpty(t, l)
 	require.Equal(t, "spare", l[0].Pool)
@@ -312,7 +312,7 @@
 	f := newFixture(t)
 	f.join("w1", "w2")
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
-	f.pass(handoverPause + poolIdleTimeout + time.Second)
+	f.advance(handoverPause + poolIdleTimeout + time.Second)
 	require.NotEmpty(t, f.moves())
 	require.Contains(t, f.ownerKeys, rosterShardKey(rosterShard("w1")), "the roster named it before")
 	for _, e := range f.roster().Workers {
@@ -333,7 +333,7 @@
 	f.fail("older", platform.ErrNotSent)
 	require.Empty(t, f.starts())
 	f.listMachines(machineOf("w1", "spare"), machineOf("w2", "blue"))
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.Len(t, f.starts(), 1)
 }
 
@@ -347,12 +347,12 @@
 	f.answer("w2", platform.PollReply{})
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1", "host-of-w2"}, TimeLimit: 20 * time.Second, MaxDown: 2}})
-	f.pass(handoverPause - 200*time.Millisecond)
+	f.advance(handoverPause - 200*time.Millisecond)
 	for _, m := range f.maintenanceOrders() {
 		require.Equal(t, "host-of-w2", m.Machine)
 	}
 	require.Len(t, f.maintenanceOrders(), 1)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.maintenanceOrders(), 2)
 }
 
@@ -360,15 +360,15 @@
 	f := newFixture(t)
 	f.join("w1")
 	f.listMachines(machineOf("w1", "blue"))
-	f.pass(firstOrderDelay + tickEvery)
+	f.advance(firstOrderDelay + tickEvery)
 	f.out = nil
 	f.holdWrites = true
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{"host-of-w1"}, TimeLimit: 20 * time.Second, MaxDown: 1}})
-	f.pass(300 * time.Millisecond)
+	f.advance(300 * time.Millisecond)
 	require.Empty(t, f.maintenanceOrders())
 	f.holdWrites = false
 	f.step(WriteResult{Number: f.core.writeNumber})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Len(t, f.maintenanceOrders(), 1)
 	require.Equal(t, []string{"host-of-w1"}, f.roster().Ordered)
 }
@@ -390,18 +390,18 @@
 			f.listMachines(host)
 			m := f.core.machinesByName[host.Name]
 			f.core.orderMove(m, "blue", &demand{})
-			f.pass(tickEvery)
+			f.advance(tickEvery)
 			refused.Machine = host.Name
 			f.step(refused)
 			require.Nil(t, m.order)
-			f.pass(orderRetry + tickEvery)
+			f.advance(orderRetry + tickEvery)
 			f.out = nil
 			f.holdWrites = true
 			f.core.orderMove(m, "blue", &demand{})
-			f.pass(time.Second)
+			f.advance(time.Second)
 			require.Empty(t, f.moves())
 			f.step(WriteResult{Number: f.core.writeNumber, Revision: f.revision + 1})
-			f.pass(time.Second)
+			f.advance(time.Second)
 			require.Len(t, f.moves(), 1)
 		})
 	}
@@ -443,7 +443,7 @@
 func TestMachineListFromBeforeAnIncarnationSaysNothingOfIt(t *testing.T) {
 	f := newFixture(t)
 	requestedAt := f.now
-	f.pass(500 * time.Millisecond)
+	f.advance(500 * time.Millisecond)
 	f.join("w1", "w2")
 	f.submit(idA, "quick", oneTask())
 	s := f.starts()[0]
@@ -481,14 +481,14 @@
 		f.listMachines(machineOf("w1", "blue"))
 		if c.ordered {
 			f.core.recordOrder(f.core.machinesByName["host-of-w1"], &machineOrder{pool: "spare"})
-			f.pass(tickEvery)
+			f.advance(tickEvery)
 		}
 		f.out = nil
 		f.core.poll(f.core.workers["w1"])
-		f.fail("w1", platform.ErrUnknown)
-		f.pass(listAfterSilence + 2*tickEvery)
+		f.fail("w1", platform.ErrUnknownOutcome)
+		f.advance(listAfterSilence + 2*tickEvery)
 		require.Equal(t, c.want, lists(f), "%+v", c)
-		f.pass(maxListGap)
+		f.advance(maxListGap)
 		require.Equal(t, 1, lists(f))
 	}
 }
--- a/job/metrics.go
+++ b/job/metrics.go
@@ -121,7 +121,7 @@
 		return "other-life"
 	case errors.Is(err, platform.ErrNotSent):
 		return "not-reached"
-	case errors.Is(err, platform.ErrUnknown):
+	case errors.Is(err, platform.ErrUnknownOutcome):
 		return "not-answered"
 	}
 	return "refused"
--- a/job/order_budget_test.go
+++ b/job/order_budget_test.go
@@ -30,7 +30,7 @@
 // once, and again as the platform refuses most of the orders: 4,000 calls per second.
 func TestMachineOrdersStayWithinTheirRate(t *testing.T) {
 	f := newSpareFixture(t, 300, 40)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	n := len(f.moves())
 	require.LessOrEqual(t, n, 40+3*40, "a burst, and forty per second")
 	require.Greater(t, n, 60)
@@ -42,12 +42,12 @@
 	f := newSpareFixture(t, 300, 40)
 	var l []MoveMachine
 	for len(l) == 0 {
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		l = f.moves()
 	}
 	f.step(MachineOrderResult{Machine: l[0].Machine, Err: fmt.Errorf("%w: status 429", platform.ErrRefused)})
 	require.False(t, f.core.mayOrder())
-	f.pass(refusedOrderPause)
+	f.advance(refusedOrderPause)
 	require.True(t, f.core.mayOrder())
 }
 
--- a/job/orders.go
+++ b/job/orders.go
@@ -159,7 +159,7 @@
 	switch {
 	case e.Err == nil && e.Rejection == platform.Accepted:
 		c.startAccepted(r)
-	case errors.Is(e.Err, platform.ErrUnknown):
+	case errors.Is(e.Err, platform.ErrUnknownOutcome):
 		if r.phase == starting {
 			r.phase = unconfirmed
 		}
--- a/job/pace.go
+++ b/job/pace.go
@@ -60,7 +60,7 @@
 }
 
 func (s *step) latencySensitive() bool {
-	return s.TailTarget > 0
+	return s.MaxTailLatency > 0
 }
 
 // shared reports whether best-effort tasks run beside latency-sensitive ones.
@@ -127,7 +127,7 @@
 	worst := 0.0
 	for _, r := range w.runs {
 		if r.task.step.latencySensitive() && r.phase == running {
-			worst = max(worst, r.level/float64(r.task.step.TailTarget.Milliseconds()))
+			worst = max(worst, r.level/float64(r.task.step.MaxTailLatency.Milliseconds()))
 		}
 	}
 	return worst
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -30,7 +30,7 @@
 	f.join("w1")
 	bestEffort, sensitive := oneTask(), oneTask()
 	bestEffort.BestEffort = true
-	sensitive.Lasting, sensitive.TailTarget = true, tailTarget
+	sensitive.Lasting, sensitive.MaxTailLatency = true, tailTarget
 	f.submit(idA, "quick", bestEffort)
 	f.submit(idB, "quick", sensitive)
 	l := f.starts()
@@ -48,7 +48,7 @@
 // passPolled lets time pass. Polls report a tail latency that is the given fraction of tailTarget.
 func (s *sharedFixture) passPolled(d time.Duration, tail float64) {
 	for end := s.now.Add(d); s.now.Before(end); {
-		s.pass(tickEvery)
+		s.advance(tickEvery)
 		if _, polled := s.polls["w1"]; !polled {
 			continue
 		}
--- a/job/perform.go
+++ b/job/perform.go
@@ -116,6 +116,6 @@
 }
 
 func (o *owner) askAdvice(ctx context.Context, a RequestAdvice) {
-	tickets, valid, err := o.Advice.Ask(ctx, a.Step, a.Workers, a.Terms)
+	tickets, valid, err := o.Advice.Ask(ctx, a.Step, a.Workers, a.Times)
 	o.send(ctx, AdviceResult{Key: a.Key, Asked: a.Workers, Tickets: tickets, Valid: valid, Err: err})
 }
--- a/job/removed_list_test.go
+++ b/job/removed_list_test.go
@@ -18,7 +18,7 @@
 		if _, ok := f.polls["w2"]; ok && f.core.workers["w2"] != nil {
 			f.fail("w2", common.ErrNotSent)
 		}
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.poolRun, 100)}})
 		}
@@ -48,7 +48,7 @@
 	var sent time.Time
 	for began := f.now; len(f.starts()) == 0; {
 		require.Less(t, f.now.Sub(began), lastingRestartWithin)
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		f.timeOutPoll("w2")
 		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.poolRun, 100)}})
@@ -73,7 +73,7 @@
 	f.passWhileReady(r, 3*time.Second)
 	f.step(WorkerUnlisted{Name: "w1"})
 	f.fail("w1", common.ErrUnknownOutcome)
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.NotNil(t, f.core.workers["w1"], "it answered after both lists, and missed only one poll since")
 }
 
@@ -82,12 +82,12 @@
 	f := newFixture(t)
 	r := lastingOn(f)
 	f.passWhileReady(r, time.Second)
-	f.passWithoutStore(time.Second)
+	f.advanceWithoutStore(time.Second)
 	f.step(WorkerList{testWorker("w2")})
 	f.out = nil
 	f.fail("w1", common.ErrUnknownOutcome)
 	for range 2 {
-		f.passWithoutStore(listEvery)
+		f.advanceWithoutStore(listEvery)
 		f.listMachines(machineOf("w2", "blue"))
 	}
 	require.Empty(t, f.starts())
@@ -98,7 +98,7 @@
 	f.join("w1")
 	f.listMachines(machineOf("w1", "blue"))
 	sent := f.now
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	v := testWorker("w2")
 	v.Host = "host-of-w1"
 	f.step(WorkerListed{Worker: v})
@@ -106,16 +106,16 @@
 	s := oneTask()
 	s.Lasting = true
 	f.submit(idA, "quick", s)
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	l := f.starts()
 	require.Len(t, l, 1)
 	f.acceptStart(l[0])
 	f.answer("w2", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100)}})
 	f.join("w3")
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.fail("w2", common.ErrUnknownOutcome)
 	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.Empty(t, f.starts(), "w2 lives: it answered after the list was requested")
 }
 
@@ -128,7 +128,7 @@
 	f.answer("w1", platform.PollReply{})
 	f.answer("w2", platform.PollReply{})
 	f.listMachines(machineOf("w1", "blue"))
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.False(t, f.core.waves[4].reported)
 }
 
@@ -139,7 +139,7 @@
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
 	f.listMachines(up...)
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	l := f.moves()
 	require.NotEmpty(t, l)
 	var rest []platform.Machine
@@ -164,10 +164,10 @@
 	f.join("w1", "w2")
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
 	f.listMachines(up...)
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	require.NotEmpty(t, f.moves())
 	sent := f.now
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	f.step(WorkerListed{Worker: testWorker("w3")})
 	f.fail("w3", common.ErrUnknownOutcome)
 	f.step(MachineList{SentAt: sent, Machines: up})
--- a/job/removed_test.go
+++ b/job/removed_test.go
@@ -44,7 +44,7 @@
 // and w1 answers. It returns the starts of that time.
 func (f *takeoverFixture) passListing(d time.Duration, l ...platform.Machine) []StartRun {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		f.timeOutPoll("w2")
 		if _, ok := f.polls["w1"]; ok {
 			f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(f.poolRun, 100)}})
@@ -93,7 +93,7 @@
 	f.listMachines(machineOf("w1", "blue"))
 	f.listMachines(machineOf("w1", "blue"), machineOf("w2", "blue"))
 	f.listMachines(machineOf("w1", "blue"))
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.Empty(t, f.starts())
 }
 
@@ -110,7 +110,7 @@
 	f := newTakeoverFixture(t)
 	task := taskKey{id: idA}.String()
 	for range 20 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		if _, ok := f.polls["w2"]; ok {
 			f.answer("w2", platform.PollReply{Running: []platform.RunningRow{{Task: task, Run: 7, Percent: 100}}})
 		}
@@ -130,10 +130,10 @@
 	f.fail("w1", common.ErrNotSent)
 	for began := f.now; f.now.Sub(began) < relistedWithin; {
 		require.Empty(t, f.starts(), "its record may have been lost with the store")
-		f.pass(listEvery)
+		f.advance(listEvery)
 		f.listMachines(machineOf("w2", "blue"))
 	}
-	f.pass(tickEvery)
+	f.advance(tickEvery)
 	require.Len(t, f.starts(), 1, "well before the four seconds of a lease")
 }
 
@@ -144,7 +144,7 @@
 	up := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue"), machineOf("w3", "blue")}
 	f.listMachines(up...)
 	f.step(WaveRequested{Wave: platform.Wave{Number: 4, Machines: []string{up[0].Name, up[1].Name}, TimeLimit: 20 * time.Second, MaxDown: 1}})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	first := f.maintenanceOrders()[0].Machine
 	f.step(MachineOrderResult{Machine: first})
 	var rest []platform.Machine
@@ -154,16 +154,16 @@
 		}
 	}
 	for range 2 {
-		f.pass(listEvery)
+		f.advance(listEvery)
 		f.listMachines(rest...)
 	}
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	l := f.maintenanceOrders()
 	require.Len(t, l, 2, "the removed machine does not count towards the cap")
 	f.step(MachineOrderResult{Machine: l[1].Machine})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.listMachines(rest...)
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.True(t, f.core.waves[4].reported)
 }
 
@@ -182,7 +182,7 @@
 		if _, ok := f.polls["w1"]; ok && f.core.workers["w1"] != nil {
 			f.fail("w1", common.ErrUnknownOutcome)
 		}
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		if f.core.listing {
 			f.listMachines(up...)
 		}
--- a/job/roster_test.go
+++ b/job/roster_test.go
@@ -32,11 +32,11 @@
 		l = append(l, testWorker(fmt.Sprint("w", i)))
 	}
 	f.step(Inherited{Config: testConfig(), Workers: l})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.roster().Workers, 400)
 	whole := f.written()
 	f.step(WorkerListed{Worker: testWorker("another")})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.True(t, f.roster().has("another"))
 	require.Less(t, f.written(), whole/10)
 }
@@ -46,7 +46,7 @@
 func TestNextOwnerDoesNotRewriteAnUnchangedRoster(t *testing.T) {
 	f := newFixture(t)
 	f.join("w1", "w2")
-	f.pass(time.Second)
+	f.advance(time.Second)
 	next := newOwnerFixture(t, 200)
 	next.holdWrites = true
 	next.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1"), testWorker("w2"), testWorker("w3")}, Roster: f.roster()})
@@ -62,7 +62,7 @@
 		require.NotEqual(t, platform.WorkerID("w3"), r.Worker.ID, "the next owner would not know of w3")
 	}
 	next.step(WriteResult{Number: next.core.writeNumber})
-	next.pass(tickEvery)
+	next.advance(tickEvery)
 	require.Len(t, next.starts(), 4)
 }
 
@@ -74,7 +74,7 @@
 	f := newFixture(t)
 	f.ownerKeys[legacyRosterKey] = []byte(b)
 	f.step(Inherited{Config: testConfig(), Roster: r})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.NotContains(t, f.ownerKeys, legacyRosterKey)
 	require.True(t, f.roster().has("w1"))
 }
@@ -87,7 +87,7 @@
 	f.ownerKeys = ownerStore{}
 	f.step(WriteResult{Number: f.core.writeNumber, Err: platform.ErrRefused})
 	f.holdWrites = false
-	f.pass(2 * writeRetry)
+	f.advance(2 * writeRetry)
 	require.True(t, f.roster().has("w1"))
 	require.True(t, f.core.workers["w1"].inRoster)
 }
@@ -108,11 +108,11 @@
 			rows = append(rows, ended(int64(i+1), l, platform.EndDone))
 		}
 	}
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.out = nil
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: rows})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	var puts []platform.Put
 	for _, a := range f.out {
 		if k, ok := a.(WriteStore); ok {
--- a/job/shares.go
+++ b/job/shares.go
@@ -31,9 +31,9 @@
 type share struct {
 	// tokenBucket holds the number of jobs that the team may submit now.
 	tokenBucket
-	// sent counts its accepted jobs since the last evaluation, overShare those of them that
+	// accepted counts its accepted jobs since the last evaluation, overShare those of them that
 	// exceeded its share.
-	sent, overShare int
+	accepted, overShare int
 	// fraction is the fraction of its jobs, from 0 to 1, that is admitted while admission
 	// is limited.
 	fraction float64
@@ -50,7 +50,7 @@
 		s.tokenBucket = tokenBucket{tokens: capacity, filledAt: now}
 	}
 	s.refill(now, t.Weight, capacity)
-	s.sent++
+	s.accepted++
 	if s.tokens < 1 {
 		s.overShare++
 		return true
@@ -68,11 +68,11 @@
 		s.fraction = 1
 	}
 	if s.overShare > 0 {
-		s.fraction = max(minTeamFraction, s.fraction*(1-float64(s.overShare)/float64(s.sent)))
+		s.fraction = max(minTeamFraction, s.fraction*(1-float64(s.overShare)/float64(s.accepted)))
 	} else {
 		s.fraction = min(1, s.fraction*teamFractionIncrease)
 	}
-	s.sent, s.overShare = 0, 0
+	s.accepted, s.overShare = 0, 0
 	return s.fraction
 }
 
--- a/job/shares_test.go
+++ b/job/shares_test.go
@@ -43,7 +43,7 @@
 			k, _ := parseTaskKey(s.Order.Task)
 			started[f.core.jobs[k.id].Team]++
 		}
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		f.endAll("w1")
 	}
 	require.GreaterOrEqual(t, started["paint"], 22, "of 25, all within its share; in the order of arrival it would be 8")
@@ -56,7 +56,7 @@
 	var l platform.PollReply
 	for _, r := range w.runs {
 		if f.now.Sub(r.sentAt) >= time.Second {
-			l.Ended = append(l.Ended, platform.EndedRow{Number: w.lastEndSeen + int64(len(l.Ended)) + 1, Task: r.task.key().String(), Run: r.number, How: platform.EndDone})
+			l.Ended = append(l.Ended, platform.EndedRow{Number: w.lastEndSeen + int64(len(l.Ended)) + 1, Task: r.task.key().String(), Run: r.number, End: platform.EndDone})
 		} else {
 			l.Running = append(l.Running, platform.RunningRow{Task: r.task.key().String(), Run: r.number, Percent: 50})
 		}
@@ -76,7 +76,7 @@
 	last := f.core.jobs["0000000000000003"]
 	require.True(t, f.core.beyondShare(last))
 	require.False(t, f.core.beyondShare(f.core.jobs["0000000000000002"]))
-	f.pass(maxShareWait)
+	f.advance(maxShareWait)
 	require.False(t, f.core.beyondShare(last))
 }
 
--- a/job/silence_test.go
+++ b/job/silence_test.go
@@ -152,7 +152,7 @@
 			if c.repeated {
 				require.NoError(t, err)
 			} else {
-				require.ErrorIs(t, err, platform.ErrUnknown)
+				require.ErrorIs(t, err, platform.ErrUnknownOutcome)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), peerTimeout)
 			defer cancel()
--- a/job/slow_owner_test.go
+++ b/job/slow_owner_test.go
@@ -27,19 +27,19 @@
 		s.MilliCores = 100
 		tooLarge := platform.Step{Count: 1, After: []int{0}, Resources: platform.Resources{MilliCores: 9000}}
 		f.submit(fmt.Sprintf("%016x", i), "quick", s, tooLarge)
-		f.pass(tickEvery)
+		f.advance(tickEvery)
 		for _, s := range f.starts() {
 			f.acceptStart(s)
 			rows = append(rows, ended(int64(i+1), s, platform.EndDone))
 		}
 	}
 	require.Len(t, rows, manyJobs)
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.holdWrites = true
 	f.answer("w1", platform.PollReply{Ended: rows})
 	require.True(t, f.core.workers["w1"].hasUnstoredEnds())
 	f.core.recordOrder(f.core.machinesByName["host-of-w1"], &machineOrder{pool: "spare"})
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	require.True(t, f.roster().has("w1"), "the write holds the ends of only some jobs")
 }
 
@@ -56,10 +56,10 @@
 	for _, r := range l {
 		f.step(StartResult{Worker: r.Worker.ID, Run: r.Order.Run, Task: r.Order.Task, Err: common.ErrUnknownOutcome})
 	}
-	f.pass(settleAfter + 100*time.Millisecond)
+	f.advance(settleAfter + 100*time.Millisecond)
 	require.Empty(t, f.stops(), "both runs may be ready")
 	f.answer(string(l[0].Worker.ID), platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 100), runningRow(l[1], 100)}})
-	f.pass(settleAfter + 100*time.Millisecond)
+	f.advance(settleAfter + 100*time.Millisecond)
 	require.Empty(t, f.stops(), "both runs are ready")
 }
 
@@ -73,8 +73,8 @@
 	f.submit(idA, "quick", s)
 	l := f.starts()
 	f.step(StartResult{Worker: "w1", Run: l[0].Order.Run, Task: l[0].Order.Task, Err: common.ErrUnknownOutcome})
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.answer("w1", platform.PollReply{})
-	f.pass(settleAfter + 100*time.Millisecond)
+	f.advance(settleAfter + 100*time.Millisecond)
 	require.Len(t, f.stops(), 1)
 }
--- a/job/slow_test.go
+++ b/job/slow_test.go
@@ -40,12 +40,12 @@
 func TestLongTaskIsNotTakenForASlowWorker(t *testing.T) {
 	f := newFixture(t)
 	l := spread(f)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	for range 2 {
 		for w, r := range l {
 			f.reportPercent(w, r, 16)
 		}
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 	}
 	require.Empty(t, f.stops(), "all take six times as long as expected")
 }
@@ -55,7 +55,7 @@
 func TestSlowWorkerIsDetectedByTasksOfSameStep(t *testing.T) {
 	f := newFixture(t)
 	l := spread(f)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	var slow platform.WorkerID
 	for w, r := range l {
 		if slow == "" {
@@ -87,10 +87,10 @@
 			f.acceptStart(r)
 		}
 		f.join("w2")
-		f.pass(time.Second)
+		f.advance(time.Second)
 		rows := []platform.RunningRow{runningRow(l[1], v.others), runningRow(l[2], v.others), runningRow(l[0], 15)}
 		f.answer("w1", platform.PollReply{Running: rows})
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		f.answer("w1", platform.PollReply{Running: rows})
 		require.Equal(t, v.stops, len(f.stops()) > 0, "others at %d", v.others)
 	}
--- a/job/stall.go
+++ b/job/stall.go
@@ -7,9 +7,9 @@
 	// stallAfter is how long a run may make no progress. Workers are polled each second, and
 	// report whole percents of tasks that take one or two seconds.
 	stallAfter = 1500 * time.Millisecond
-	// stallShare bounds the same for longer tasks: they may make no progress for their expected
+	// stallDivisor bounds the same for longer tasks: they may make no progress for their expected
 	// run time divided by stallShare.
-	stallShare = 10
+	stallDivisor = 10
 	// warmUp is how long a lasting task may take to become ready. The slowest take a second and
 	// a half.
 	warmUp = 3 * time.Second
@@ -43,7 +43,7 @@
 	if t.stalls >= maxStalls {
 		return false
 	}
-	return c.now.Sub(r.progressAt) > max(stallAfter, c.expectedRunTime(t.step.instance.job, t.step.Step)/stallShare)
+	return c.now.Sub(r.progressAt) > max(stallAfter, c.expectedRunTime(t.step.instance.job, t.step.Step)/stallDivisor)
 }
 
 // moveElsewhere stops the run, so that its task starts on another worker, and quarantines its
--- a/job/store_writer.go
+++ b/job/store_writer.go
@@ -56,7 +56,7 @@
 			return nil
 		case errors.Is(err, platform.ErrConflict):
 			return k.resolveConflict(found, id)
-		case errors.Is(err, platform.ErrUnknown):
+		case errors.Is(err, platform.ErrUnknownOutcome):
 			unconfirmed = true
 		case !unconfirmed:
 			return err
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -36,7 +36,7 @@
 	return platform.Step{Count: n, Resources: platform.Resources{MilliCores: 1000, MemoryMB: 10}, Estimate: time.Second}
 }
 
-func (f *fixture) tookAll(l []StartRun) {
+func (f *fixture) acceptAll(l []StartRun) {
 	for _, s := range l {
 		f.acceptStart(s)
 	}
@@ -54,8 +54,8 @@
 	mine, others := byJob(l, idA), byJob(l, idB)
 	require.Len(t, mine, 2, "the cap is two cores")
 	require.Len(t, others, 3, "tasks that wait for a cap do not block others")
-	f.tookAll(l)
-	f.pass(100 * time.Millisecond)
+	f.acceptAll(l)
+	f.advance(100 * time.Millisecond)
 	require.Empty(t, f.starts())
 	e, ok := f.core.Explain(idA)
 	require.True(t, ok)
@@ -103,7 +103,7 @@
 	f.submitAs(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
-	f.tookAll(l)
+	f.acceptAll(l)
 	f.submitAs(idB, "paint", "green", tasksOf(1))
 	require.Empty(t, f.starts())
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{ended(1, l[0], platform.EndDone)}})
@@ -118,14 +118,14 @@
 	f.submitAs(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
-	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknown})
+	f.step(StartResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Err: platform.ErrUnknownOutcome})
 	f.submitAs(idB, "paint", "quick", tasksOf(1))
 	require.Empty(t, f.starts(), "the start may be carried out late")
 	f.step(CancelRequested{ID: idA})
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	require.Empty(t, f.starts(), "it has not ended yet")
 	f.step(StopResult{Worker: l[0].Worker.ID, Run: l[0].Order.Run, Task: l[0].Order.Task, Clock: f.clock})
-	f.pass(50 * time.Millisecond)
+	f.advance(50 * time.Millisecond)
 	f.answer(string(l[0].Worker.ID), platform.PollReply{})
 	require.Len(t, f.starts(), 1, "the run can never begin")
 }
@@ -147,11 +147,11 @@
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{
 		{Task: idA + ".0.0.0", Run: 7, Percent: 20}, {Task: idA + ".0.0.1", Run: 8, Percent: 20},
 	}})
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	require.Empty(t, f.starts(), "w1 does run two tasks of the team")
-	f.pass(pollWait)
+	f.advance(pollWait)
 	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{
-		{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndDone}, {Number: 2, Task: idA + ".0.0.1", Run: 8, How: platform.EndDone},
+		{Number: 1, Task: idA + ".0.0.0", Run: 7, End: platform.EndDone}, {Number: 2, Task: idA + ".0.0.1", Run: 8, End: platform.EndDone},
 	}})
 	require.Len(t, f.starts(), 2)
 }
@@ -172,8 +172,8 @@
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{{Task: idA + ".0.0.0", Run: 7, Percent: 20}}})
 	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
 	require.Empty(t, f.starts())
-	f.pass(50 * time.Millisecond)
-	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{{Number: 1, Task: idA + ".0.0.0", Run: 7, How: platform.EndStopped}}})
+	f.advance(50 * time.Millisecond)
+	f.answer("w1", platform.PollReply{Ended: []platform.EndedRow{{Number: 1, Task: idA + ".0.0.0", Run: 7, End: platform.EndStopped}}})
 	require.Len(t, f.starts(), 1)
 }
 
@@ -192,7 +192,7 @@
 	})
 	f.answer("w2", platform.PollReply{})
 	f.step(Accepted{ID: idB, Record: rec, Created: 6000})
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	require.Empty(t, f.starts(), "the task of the first job may run on w1")
 	f.answer("w1", platform.PollReply{})
 	require.Len(t, f.starts(), 1)
@@ -206,7 +206,7 @@
 	f.submitAs(idA, "paint", "quick", tasksOf(1))
 	l := f.starts()
 	require.Len(t, l, 1)
-	f.tookAll(l)
+	f.acceptAll(l)
 	g := tasksOf(3)
 	g.Gang = true
 	f.submitAs(idB, "paint", "quick", g)
@@ -224,7 +224,7 @@
 	f.submitAs(idA, "paint", "quick", tasksOf(8))
 	count := func() int {
 		l := f.starts()
-		f.tookAll(l)
+		f.acceptAll(l)
 		return len(l)
 	}
 	require.Equal(t, 1, count())
@@ -247,7 +247,7 @@
 		f.step(ConfigChanged{Config: cappedConfig(2, limit)})
 		f.join("w1")
 		f.submitAs(idA, "paint", "quick", tasksOf(4))
-		f.tookAll(f.starts())
+		f.acceptAll(f.starts())
 		for i := range 6 {
 			f.submitAs(string(rune('0'+i))+idB[1:], "paint", "quick", tasksOf(8))
 		}
--- a/job/unconfigured_test.go
+++ b/job/unconfigured_test.go
@@ -17,7 +17,7 @@
 	w := testWorker("w1")
 	w.Service = "violet"
 	f.step(WorkerListed{Worker: w})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Empty(t, f.polls)
 	require.False(t, f.roster().has("w1"))
 
@@ -68,7 +68,7 @@
 	c.Version = 2
 	c.Services = c.Services[1:]
 	f.step(ConfigChanged{Config: c})
-	f.pass(pollWait)
+	f.advance(pollWait)
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 50)}})
 	f.step(WorkerListed{Worker: testWorker("w1")})
 	require.Len(t, f.core.workers["w1"].runs, 1)
@@ -113,10 +113,10 @@
 	r.Workers = []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1", Address: netip.MustParseAddrPort("10.0.0.1:80")}}
 	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: []Accepted{{ID: idA, Record: rec, Created: 50}}, Roster: r})
 	f.answer("w1", platform.PollReply{})
-	f.pass(inheritedLease - 100*time.Millisecond)
+	f.advance(inheritedLease - 100*time.Millisecond)
 	require.Empty(t, f.starts())
 	f.submit(idB, "quick", oneTask())
 	require.Len(t, f.starts(), 1)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.starts(), 1)
 }
--- a/job/upcoming.go
+++ b/job/upcoming.go
@@ -35,7 +35,7 @@
 	case s.Lasting:
 		return s.remaining
 	case !s.unblocked():
-		if c.opensBy(s, at) {
+		if c.unblockedBy(s, at) {
 			return s.remaining
 		}
 		return 0
@@ -43,8 +43,8 @@
 	return c.unfinished(s, at)
 }
 
-// opensBy reports whether the steps before s are expected to be done by the time.
-func (c *Core) opensBy(s *step, at time.Time) bool {
+// unblockedBy reports whether the steps before s are expected to be done by the time.
+func (c *Core) unblockedBy(s *step, at time.Time) bool {
 	for _, a := range s.After {
 		before := s.instance.steps[a]
 		if before.remaining > 0 && (!before.unblocked() || c.unfinished(before, at) > 0) {
--- a/job/upcoming_test.go
+++ b/job/upcoming_test.go
@@ -25,14 +25,14 @@
 		wide.After = []int{0}
 		f.submit(idA, "quick", first, wide)
 		f.acceptStart(f.starts()[0])
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		got := f.core.upcomingDemand("blue", f.now.Add(moveDuration)).MilliCores
 		if v.wants {
 			require.EqualValues(t, 40_000, got)
 		} else {
 			require.EqualValues(t, 1000, got)
 		}
-		f.pass(4 * arrivalWindow)
+		f.advance(4 * arrivalWindow)
 		require.Equal(t, v.wants, f.core.wantedHosts("blue") > 10, "after the arrivals have decayed")
 	}
 }
--- a/job/world_faults_test.go
+++ b/job/world_faults_test.go
@@ -73,7 +73,7 @@
 // may not have been started again since that end.
 func (w *world) acknowledge(e *worldEnd) {
 	e.acknowledged = true
-	if e.row.How != platform.EndDone || e.leaseExpired {
+	if e.row.End != platform.EndDone || e.leaseExpired {
 		return
 	}
 	for _, o := range w.restarted[e.row.Task] {
--- a/job/world_test.go
+++ b/job/world_test.go
@@ -93,11 +93,11 @@
 	born          time.Time
 	clockRate     float64
 	fence         platform.Fence
-	until         platform.WorkerClock
+	leaseUntil    platform.WorkerClock
 	runs          map[string]*worldRun
 	highestRun    map[string]int64
 	ended         []*worldEnd
-	number        int64
+	lastEnd       int64
 	// previousCores is its capacity before it was resized, which starts may rely on until
 	// previousUntil.
 	previousCores int64
@@ -369,7 +369,7 @@
 	if !v.alive {
 		return
 	}
-	if v.until > 0 && v.clock(w.now) > v.until {
+	if v.leaseUntil > 0 && v.clock(w.now) > v.leaseUntil {
 		for _, e := range v.ended {
 			e.leaseExpired = true
 		}
@@ -377,7 +377,7 @@
 	for n, r := range v.runs {
 		how := r.how
 		switch {
-		case v.until > 0 && v.clock(w.now) > v.until:
+		case v.leaseUntil > 0 && v.clock(w.now) > v.leaseUntil:
 			how = platform.EndExpired
 			w.expiredRuns++
 		case w.now.Before(r.endsAt) || (r.step.Lasting && r.how == platform.EndDone):
@@ -389,8 +389,8 @@
 }
 
 func (w *world) end(v *worldWorker, r *worldRun, how platform.End) {
-	v.number++
-	e := &worldEnd{row: platform.EndedRow{Number: v.number, Task: r.task, Run: r.number, How: how}, at: v}
+	v.lastEnd++
+	e := &worldEnd{row: platform.EndedRow{Number: v.lastEnd, Task: r.task, Run: r.number, End: how}, at: v}
 	v.ended = append(v.ended, e)
 	if how == platform.EndDone {
 		w.doneRuns[r.task] = append(w.doneRuns[r.task], e)
@@ -406,7 +406,7 @@
 	}
 	v.fence = a.Order.Fence
 	if a.Order.LeaseUntil > 0 {
-		v.until = max(v.until, a.Order.LeaseUntil)
+		v.leaseUntil = max(v.leaseUntil, a.Order.LeaseUntil)
 	}
 	v.ended = slices.DeleteFunc(v.ended, func(e *worldEnd) bool {
 		if e.row.Number > a.Order.LastAcked {
@@ -437,7 +437,7 @@
 		out.Rejection = platform.RejectedExpired
 	default:
 		v.fence = o.Fence
-		v.until = max(v.until, o.LeaseUntil)
+		v.leaseUntil = max(v.leaseUntil, o.LeaseUntil)
 		v.highestRun[o.Task] = o.Run
 		w.begin(v, o)
 	}
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -175,14 +175,14 @@
 	for i := range n {
 		w.period()
 		if i%10 == 0 {
-			w.rejoin(i / 10)
+			w.discover(i / 10)
 		}
 	}
 }
 
-// rejoin does what Service.discover does: a process that knows no other asks all its
+// discover does what Service.discover does: a process that knows no other asks all its
 // seeds, one that knows others asks one of them.
-func (w *network) rejoin(turn int) {
+func (w *network) discover(turn int) {
 	n := len(w.tables)
 	for i, v := range w.tables {
 		alone := len(v.Live()) < 2
--- a/request/callerlistener_test.go
+++ b/request/callerlistener_test.go
@@ -78,12 +78,12 @@
 // many connections were reset.
 func lostByClose(t *testing.T, callers int) int64 {
 	t.Helper()
-	return lostByCloseBefore(t, callers, func(netip.AddrPort) {})
+	return lostByCloseThen(t, callers, func(netip.AddrPort) {})
 }
 
-// lostByCloseBefore does what lostByClose does, and calls next with the listener's
+// lostByCloseThen does what lostByClose does, and calls next with the listener's
 // address once it is closed.
-func lostByCloseBefore(t *testing.T, callers int, next func(netip.AddrPort)) int64 {
+func lostByCloseThen(t *testing.T, callers int, next func(netip.AddrPort)) int64 {
 	t.Helper()
 	l, err := ListenForCallers(t.Context(), netip.AddrPortFrom(loopback.RandomAddr(), 0))
 	require.NoError(t, err)
@@ -115,7 +115,7 @@
 //
 // The other server is simulated by a listener that resets what it accepts.
 func TestCallersOfClosedListenerReachNoOtherServer(t *testing.T) {
-	require.Zero(t, lostByCloseBefore(t, 2, func(closed netip.AddrPort) { resetOnce(t, closed.Port()) }))
+	require.Zero(t, lostByCloseThen(t, 2, func(closed netip.AddrPort) { resetOnce(t, closed.Port()) }))
 }
 
 // resetOnce listens on the port of the address that tests share, and resets the first
@@ -171,7 +171,7 @@
 	var lost atomic.Int64
 	for range callers {
 		sent.Add(1)
-		done.Go(func() { askWhole(l.Addr().String(), &sent, &lost) })
+		done.Go(func() { askAndSignal(l.Addr().String(), &sent, &lost) })
 	}
 	sent.Wait()
 	require.NoError(t, l.Close())
@@ -191,9 +191,9 @@
 	}))
 }
 
-// askWhole sends a request on a new connection, signals that it is sent, and counts it as
+// askAndSignal sends a request on a new connection, signals that it is sent, and counts it as
 // lost if it is not answered.
-func askWhole(address string, sent *sync.WaitGroup, lost *atomic.Int64) {
+func askAndSignal(address string, sent *sync.WaitGroup, lost *atomic.Int64) {
 	c, err := net.Dial("tcp", address)
 	if err == nil {
 		defer c.Close()
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -33,7 +33,7 @@
 	now     time.Time
 	skew    []time.Duration
 	shards  []*shard
-	memory  *standin.FaultyStore
+	store   *standin.FaultyStore
 	ids     []uuid.UUID
 	runs    map[uuid.UUID]int
 	attempt uint64
@@ -43,8 +43,8 @@
 }
 
 func newClaimModel(t *rapid.T) *claimModel {
-	m := &claimModel{t: t, now: time.Unix(1e9, 0), memory: standin.NewFaultyStore(), runs: map[uuid.UUID]int{}, busy: map[int]bool{}}
-	m.memory.Decide = m.decide
+	m := &claimModel{t: t, now: time.Unix(1e9, 0), store: standin.NewFaultyStore(), runs: map[uuid.UUID]int{}, busy: map[int]bool{}}
+	m.store.Decide = m.decide
 	for n := range rapid.IntRange(2, 3).Draw(t, "hosts") {
 		m.skew = append(m.skew, time.Duration(rapid.IntRange(0, 1000).Draw(t, "skew"))*time.Millisecond)
 		m.shards = append(m.shards, m.newShard(n))
@@ -53,7 +53,7 @@
 }
 
 func (m *claimModel) newShard(n int) *shard {
-	s := newShard(claimStore{m.memory, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.NopDeps().Log("test"), func() {})
+	s := newShard(claimStore{m.store, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.NopDeps().Log("test"), func() {})
 	s.retryDelay = 0
 	return s
 }
@@ -139,7 +139,7 @@
 			"pass":    func(t *rapid.T) { m.t = t; m.advance() },
 			"trim":    func(t *rapid.T) { m.t = t; m.trim() },
 			"restart": func(t *rapid.T) { m.t = t; m.restart() },
-			"deliver": func(*rapid.T) { m.memory.DeliverDelayed() },
+			"deliver": func(*rapid.T) { m.store.DeliverDelayed() },
 		})
 	})
 }
--- a/request/detached_test.go
+++ b/request/detached_test.go
@@ -24,11 +24,11 @@
 // slowTarget runs each request to its end, even if nobody waits for it, and counts how
 // many run at once.
 type slowTarget struct {
-	mu     sync.Mutex
-	active int
-	most   int
-	runs   int
-	took   time.Duration
+	mu        sync.Mutex
+	active    int
+	maxActive int
+	runs      int
+	runTime   time.Duration
 }
 
 // ServeHTTP runs one request once its whole body has arrived.
@@ -37,7 +37,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.count(1)
-	time.Sleep(s.took)
+	time.Sleep(s.runTime)
 	s.count(-1)
 }
 
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += n
-	s.most = max(s.most, s.active)
+	s.maxActive = max(s.maxActive, s.active)
 	s.runs += max(n, 0)
 }
 
@@ -107,7 +107,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := &slowTarget{took: 300 * time.Millisecond}
+			v := &slowTarget{runTime: 300 * time.Millisecond}
 			s := oneSlot(t, v)
 			c, cancel := ctx(t.Context())
 			defer cancel()
@@ -118,7 +118,7 @@
 			w = ask(t.Context(), s, 5*time.Second)
 			require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 			require.Equal(t, 2, v.runs)
-			require.Equal(t, 1, v.most, "runs at once on a target with one slot")
+			require.Equal(t, 1, v.maxActive, "runs at once on a target with one slot")
 			require.Eventually(t, func() bool { return s.Dispatcher.Dump().Targets[0].Busy == 0 }, 2*time.Second, 10*time.Millisecond)
 		})
 	}
@@ -128,7 +128,7 @@
 // connection to the target is established: either the target does not run the request, or
 // the error tells when the run is over.
 func TestCancelDuringDialLeavesNoUnknownRun(t *testing.T) {
-	v := &slowTarget{took: 5 * time.Millisecond}
+	v := &slowTarget{runTime: 5 * time.Millisecond}
 	target := httptest.NewServer(v)
 	defer target.Close()
 	a := netip.MustParseAddrPort(strings.TrimPrefix(target.URL, "http://"))
--- a/request/policy_test.go
+++ b/request/policy_test.go
@@ -86,16 +86,16 @@
 func play(l []arrival, e *endings, offer func(a arrival)) {
 	for _, a := range l {
 		for e.Len() > 0 && !(*e)[0].at.After(a.at) {
-			drain(e)
+			popEnding(e)
 		}
 		offer(a)
 	}
 	for e.Len() > 0 {
-		drain(e)
+		popEnding(e)
 	}
 }
 
-func drain(e *endings) {
+func popEnding(e *endings) {
 	v, _ := heap.Pop(e).(ending)
 	v.end(v.at)
 }
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -50,7 +50,7 @@
 		{Name: "b", Pool: m.pool, Weight: 3},
 		{Name: "placed", Pool: "p", Weight: 1, Placed: true, Targets: placedOn},
 	})
-	m.pump()
+	m.startReady()
 }
 
 // mayRun reports whether the item may run on the target.
@@ -79,7 +79,7 @@
 		l = append(l, v)
 	}
 	m.s.SetTargets(l)
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) offer(t *rapid.T) {
@@ -97,7 +97,7 @@
 		return
 	}
 	m.waiting = append(m.waiting, i)
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) cancel(t *rapid.T) {
@@ -113,7 +113,7 @@
 	}
 	m.waiting = slices.DeleteFunc(m.waiting, func(v *Item) bool { return v == i })
 	m.ended[i] = true
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) done(t *rapid.T) {
@@ -128,23 +128,23 @@
 	}
 	if rapid.IntRange(0, 2).Draw(t, "runs on") == 0 {
 		m.s.RecordOutcome(m.now, i, o)
-		m.pump()
+		m.startReady()
 		return
 	}
 	m.running = slices.DeleteFunc(m.running, func(v *Item) bool { return v == i })
 	m.ended[i] = true
 	m.s.Done(m.now, i, o)
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) advance(t *rapid.T) {
 	m.t = t
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
-	m.pump()
+	m.startReady()
 }
 
-// pump starts all items that can start and checks each start.
-func (m *schedulerModel) pump() {
+// startReady starts all items that can start and checks each start.
+func (m *schedulerModel) startReady() {
 	for _, p := range []string{"p", "q"} {
 		for s, ok := m.s.Next(m.now, p); ok; s, ok = m.s.Next(m.now, p) {
 			m.started(s.Item)
--- a/tests/operations_test.go
+++ b/tests/operations_test.go
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.Eventually(t, func() bool {
-		l := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
+		l := strings.Join(j.LogLines(`"job":"`+jobID(1)+`"`), "\n")
 		return strings.Contains(l, `"msg":"intake"`) && strings.Contains(l, `"verdict":"not-run"`) && strings.Contains(l, "status 503")
 	}, 2*time.Second, pollInterval)
 }
@@ -67,11 +67,11 @@
 	worker := j.Fleet.Silence(8 * time.Second)
 	require.NotEmpty(t, worker)
 	require.Eventually(t, func() bool { return jobState(t, j.Entries[0], "blue", jobID(1)) == succeeded }, jobTimeout, pollInterval)
-	lines := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
+	lines := strings.Join(j.LogLines(`"job":"`+jobID(1)+`"`), "\n")
 	require.Equal(t, 2, strings.Count(lines, `"msg":"start"`), lines)
 	require.Contains(t, lines, `"msg":"run gone"`)
 	require.Contains(t, lines, worker)
-	require.Contains(t, strings.Join(j.Logs(`"worker":"`+worker+`"`), "\n"), `"msg":"worker silent"`)
+	require.Contains(t, strings.Join(j.LogLines(`"worker":"`+worker+`"`), "\n"), `"msg":"worker silent"`)
 }
 
 func TestCauseOfAFailedJobIsFoundFromItsID(t *testing.T) {
@@ -81,7 +81,7 @@
 	})
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return jobState(t, j.Entries[1], "blue", jobID(1)) == `200 {"state":"failed"}` }, jobTimeout, pollInterval)
-	lines := strings.Join(j.Logs(`"job":"`+jobID(1)+`"`), "\n")
+	lines := strings.Join(j.LogLines(`"job":"`+jobID(1)+`"`), "\n")
 	require.Contains(t, lines, `"msg":"job failed"`)
 	require.Contains(t, lines, jobID(1)+".0.0.0 has failed as often as its queue allows")
 	require.Equal(t, 3, strings.Count(lines, `"why":"failed"`), lines)
