--- a/internal/local/cmd/jobs/main.go
+++ b/internal/local/cmd/jobs/main.go
@@ -1,6 +1,6 @@
-// Command jobs runs a small deployment that serves jobs, hands jobs in while
-// its owner is killed, the configuration changes and a wave maintains half of
-// the machines, and prints what became of them.
+// Command jobs runs a small deployment that serves jobs, submits jobs while its owner is
+// killed, the configuration changes and a wave maintains half of the machines, and prints
+// the results.
 package main
 
 import (
@@ -25,13 +25,13 @@
 	}
 }
 
-// The load of the demo: two queues for some fifteen seconds.
+// The load takes about fifteen seconds.
 const (
 	jobCount    = 150
 	jobInterval = 100 * time.Millisecond
 	waveNumber  = 1
 	waveMaxDown = 2
-	// jobTimeout is how long jobs may take after the last was handed in.
+	// jobTimeout bounds the time from a caller's first try to submit its job to its last poll.
 	jobTimeout = 20 * time.Second
 )
 
@@ -53,13 +53,13 @@
 	if err != nil {
 		return err
 	}
-	t := &loadReport{finalStates: map[string]int{}, statusCodes: map[int]int{}}
+	r := &loadReport{finalStates: map[string]int{}, statusCodes: map[int]int{}}
 	go injectFaults(ctx, j)
-	t.runJobs(ctx, j)
-	return t.print(j)
+	r.runJobs(ctx, j)
+	return r.print(j)
 }
 
-// injectFaults kills the owner, changes the configuration and asks for a wave.
+// injectFaults requests a wave, changes the configuration, kills the owner and restarts it.
 func injectFaults(ctx context.Context, j *local.JobsDeployment) {
 	wait := func(d time.Duration) bool {
 		select {
@@ -97,6 +97,7 @@
 	fmt.Println(what)
 }
 
+// loadReport collects the results of all jobs.
 type loadReport struct {
 	mu          sync.Mutex
 	finalStates map[string]int
@@ -104,38 +105,38 @@
 	maxDuration time.Duration
 }
 
-func (t *loadReport) runJobs(ctx context.Context, j *local.JobsDeployment) {
+func (r *loadReport) runJobs(ctx context.Context, j *local.JobsDeployment) {
 	var wg sync.WaitGroup
 	for n := range jobCount {
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { t.runJob(j, n) })
+		wg.Go(func() { r.runJob(j, n) })
 		time.Sleep(jobInterval)
 	}
 	wg.Wait()
 }
 
-// runJob hands one job in, at another entry host after no answer, and asks for
-// its state until it is final.
-func (t *loadReport) runJob(j *local.JobsDeployment, n int) {
+// runJob submits one job, trying the next entry host after each failure, and polls its state
+// until it is final.
+func (r *loadReport) runJob(j *local.JobsDeployment, n int) {
 	queue := []string{"blue", "green"}[n%2]
 	id := fmt.Sprintf("%016x", n+1)
 	job := fleet.Job{Spec: "400ms", Steps: []fleet.Step{
 		{Count: 3, CPU: 1000, MemMB: 100, EstimateMs: 400},
 		{Count: 2, CPU: 1500, MemMB: 100, EstimateMs: 400, After: []int{0}},
 	}}
-	begun := time.Now()
-	for i := 0; time.Since(begun) < jobTimeout; i++ {
+	start := time.Now()
+	for i := 0; time.Since(start) < jobTimeout; i++ {
 		code, _, err := j.Entries[(n+i)%len(j.Entries)].Call(http.MethodPost, queue, id, job)
-		t.recordStatus(code)
+		r.recordStatus(code)
 		if err == nil && code == http.StatusOK {
 			break
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 	state := "unknown"
-	for i := 0; time.Since(begun) < jobTimeout; i++ {
+	for i := 0; time.Since(start) < jobTimeout; i++ {
 		code, body, err := j.Entries[(n+i)%len(j.Entries)].Call(http.MethodGet, queue, id, nil)
 		if err == nil && code == http.StatusOK && body != `{"state":"queued"}` && body != `{"state":"running"}` {
 			state = body
@@ -143,28 +144,28 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.finalStates[state]++
-	t.maxDuration = max(t.maxDuration, time.Since(begun))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.finalStates[state]++
+	r.maxDuration = max(r.maxDuration, time.Since(start))
 }
 
-func (t *loadReport) recordStatus(code int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.statusCodes[code]++
+func (r *loadReport) recordStatus(code int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.statusCodes[code]++
 }
 
-func (t *loadReport) print(j *local.JobsDeployment) error {
+func (r *loadReport) print(j *local.JobsDeployment) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	for s, n := range t.finalStates {
+	for s, n := range r.finalStates {
 		fmt.Fprintf(w, "jobs that ended as %s\t%d\n", s, n)
 	}
-	for c, n := range t.statusCodes {
+	for c, n := range r.statusCodes {
 		fmt.Fprintf(w, "answers with status %d (0: none)\t%d\n", c, n)
 	}
 	fmt.Fprintf(w, "runs begun\t%d of %d needed\n", j.Fleet.Checker.StartCount(), 5*jobCount)
-	fmt.Fprintf(w, "slowest job\t%s\n", t.maxDuration.Round(time.Millisecond))
+	fmt.Fprintf(w, "slowest job\t%s\n", r.maxDuration.Round(time.Millisecond))
 	fmt.Fprintf(w, "moves between pools\t%d\n", j.Fleet.Moves())
 	fmt.Fprintf(w, "wave\t%s, at most %d machines down at once\n", j.Fleet.WaveState(waveNumber), j.Fleet.MaxDown(waveNumber))
 	fmt.Fprintf(w, "calls to the store\t%d\n", j.Fleet.Store.Calls())
@@ -172,9 +173,9 @@
 		return err
 	}
 	if l := j.Fleet.Checker.Violations(); len(l) > 0 {
-		return fmt.Errorf("broken promises: %q", l)
+		return fmt.Errorf("violations: %q", l)
 	}
-	if t.finalStates[`{"state":"succeeded"}`] != jobCount {
+	if r.finalStates[`{"state":"succeeded"}`] != jobCount {
 		return fmt.Errorf("not all of %d jobs succeeded", jobCount)
 	}
 	return nil
--- a/job/advice.go
+++ b/job/advice.go
@@ -32,8 +32,8 @@
 type RequestAdvice struct {
 	Step    string
 	Workers []platform.WorkerID
-	// Terms say how long the service takes to answer.
-	Terms platform.AdviceTimes
+	// Times say how long the service takes to answer.
+	Times platform.AdviceTimes
 	Key   taskKey
 }
 
@@ -55,8 +55,8 @@
 	return string(n.job.id) + "." + strconv.Itoa(n.index) + "." + strconv.Itoa(s.index)
 }
 
-// adviceTicket returns the ticket for the step on the worker. If there is none, it
-// requests tickets for all workers of the pool that could run the step.
+// adviceTicket returns the ticket for the step on the worker. If there is no valid one, it
+// requests tickets for the workers of the pool that could run the step.
 func (c *Core) adviceTicket(s *step, w *worker) (string, bool) {
 	if s.advice == nil {
 		s.advice = &advice{tickets: map[platform.WorkerID]ticket{}, asked: map[platform.WorkerID]bool{}}
@@ -87,7 +87,7 @@
 	}
 	a.pending = true
 	l = l[:min(len(l), platform.MaxAdviceWorkers)]
-	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Terms: *s.instance.job.queue.Advice, Key: s.tasks[0].key()})
+	c.emit(RequestAdvice{Step: s.adviceName(), Workers: l, Times: *s.instance.job.queue.Advice, Key: s.tasks[0].key()})
 }
 
 // ruledOut reports whether the advice service has ruled the worker out.
--- a/job/intake.go
+++ b/job/intake.go
@@ -17,7 +17,7 @@
 	// intakeBatch is the maximum number of jobs in one write. Each takes two conditions
 	// and one entry of a transaction.
 	intakeBatch = platform.MaxTxn / 3
-	// intakeRetry is the delay before a write is retried whose answer was lost.
+	// intakeRetry is the delay before a write whose answer was lost is retried.
 	intakeRetry = 100 * time.Millisecond
 )
 
@@ -62,7 +62,7 @@
 	select {
 	case i.queue <- a:
 	default:
-		return common.NotRun, errors.New("too many jobs wait to be written")
+		return common.NotRun, errors.New("too many jobs are waiting to be written")
 	}
 	select {
 	case v := <-a.outcome:
@@ -114,7 +114,7 @@
 		case errors.Is(err, platform.ErrConflict):
 			l = i.settleStored(l, found)
 			continue
-		case errors.Is(err, platform.ErrUnknown):
+		case errors.Is(err, platform.ErrUnknownOutcome):
 			for _, a := range l {
 				a.mayBeStored = true
 			}
--- a/job/pace_test.go
+++ b/job/pace_test.go
@@ -10,11 +10,11 @@
 	"amberway/platform"
 )
 
-// tailTarget is the target of the latency-sensitive task.
+// tailTarget is the TailTarget of the latency-sensitive task.
 const tailTarget = 100 * time.Millisecond
 
-// sharedFixture is an owner with a worker on which a best-effort task runs beside a latency-sensitive
-// one.
+// sharedFixture is an owner with a worker on which a best-effort task runs beside a
+// latency-sensitive one.
 type sharedFixture struct {
 	*fixture
 	bestEffort, sensitive StartRun
@@ -30,7 +30,7 @@
 	f.join("w1")
 	bestEffort, sensitive := oneTask(), oneTask()
 	bestEffort.BestEffort = true
-	sensitive.Lasting, sensitive.TailTarget = true, tailTarget
+	sensitive.Lasting, sensitive.MaxTailLatency = true, tailTarget
 	f.submit(idA, "quick", bestEffort)
 	f.submit(idB, "quick", sensitive)
 	l := f.starts()
@@ -45,10 +45,10 @@
 	return s
 }
 
-// passPolled lets time pass. Polls are answered with a tail of the given fraction of the target.
+// passPolled lets time pass. Polls report a tail latency that is the given fraction of tailTarget.
 func (s *sharedFixture) passPolled(d time.Duration, tail float64) {
 	for end := s.now.Add(d); s.now.Before(end); {
-		s.pass(tickEvery)
+		s.advance(tickEvery)
 		if _, polled := s.polls["w1"]; !polled {
 			continue
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-// paces returns the paces ordered since the last call.
+// paces removes the orders to pace a run from out, and returns their percentages.
 func (f *fixture) paces() []int {
 	var l []int
 	var rest []Action
--- a/job/unconfigured_test.go
+++ b/job/unconfigured_test.go
@@ -17,7 +17,7 @@
 	w := testWorker("w1")
 	w.Service = "violet"
 	f.step(WorkerListed{Worker: w})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Empty(t, f.polls)
 	require.False(t, f.roster().has("w1"))
 
@@ -68,7 +68,7 @@
 	c.Version = 2
 	c.Services = c.Services[1:]
 	f.step(ConfigChanged{Config: c})
-	f.pass(pollWait)
+	f.advance(pollWait)
 	f.answer("w1", platform.PollReply{Running: []platform.RunningRow{runningRow(l[0], 50)}})
 	f.step(WorkerListed{Worker: testWorker("w1")})
 	require.Len(t, f.core.workers["w1"].runs, 1)
@@ -78,11 +78,11 @@
 // taking over.
 func TestInvalidJobRecordIsRejected(t *testing.T) {
 	for name, e := range map[string]platform.Entry{
-		"no object":      {Key: recordKey(idA), Value: []byte(`[1]`)},
-		"no steps":       {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue"}`)},
-		"steps in a row": {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1,"a":[1]},{"n":1,"a":[0]}]}`)},
-		"no queue":       {Key: recordKey(idA), Value: []byte(`{"w":[{"n":1}]}`)},
-		"no id":          {Key: recordPrefix + "x", Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1}]}`)},
+		"not an object": {Key: recordKey(idA), Value: []byte(`[1]`)},
+		"no steps":      {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue"}`)},
+		"cyclic steps":  {Key: recordKey(idA), Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1,"a":[1]},{"n":1,"a":[0]}]}`)},
+		"no queue":      {Key: recordKey(idA), Value: []byte(`{"w":[{"n":1}]}`)},
+		"no id":         {Key: recordPrefix + "x", Value: []byte(`{"q":"quick","s":"blue","w":[{"n":1}]}`)},
 	} {
 		_, _, err := decodeRecord(e)
 		require.Error(t, err, name)
@@ -91,8 +91,8 @@
 
 func TestInvalidProgressIsRejected(t *testing.T) {
 	for name, v := range map[string]string{
-		"no object":      `3`,
-		"another state":  `{"s":"resting"}`,
+		"not an object":  `3`,
+		"unknown state":  `{"s":"resting"}`,
 		"a time below 0": `{"s":"running","p":-1}`,
 		"a step below 0": `{"s":"running","i":{"0":{"f":[{"s":-1,"i":0,"r":[1]}]}}}`,
 		"a task below 0": `{"s":"running","i":{"0":{"f":[{"s":0,"i":-1,"r":[1]}]}}}`,
@@ -113,10 +113,10 @@
 	r.Workers = []RosterEntry{{ID: "w1", Service: "blue", Host: "host-of-w1", Address: netip.MustParseAddrPort("10.0.0.1:80")}}
 	f.step(Inherited{Config: testConfig(), Workers: []platform.Worker{testWorker("w1")}, Jobs: []Accepted{{ID: idA, Record: rec, Created: 50}}, Roster: r})
 	f.answer("w1", platform.PollReply{})
-	f.pass(inheritedLease - 100*time.Millisecond)
+	f.advance(inheritedLease - 100*time.Millisecond)
 	require.Empty(t, f.starts())
 	f.submit(idB, "quick", oneTask())
 	require.Len(t, f.starts(), 1)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	require.Len(t, f.starts(), 1)
 }
--- a/peers/dialer.go
+++ b/peers/dialer.go
@@ -19,32 +19,31 @@
 // tokenKey is the metadata key of the token that entry hosts share.
 const tokenKey = "amberway-peer-token"
 
-// Times of a connection between entry hosts.
+// Limits of a connection between entry hosts.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	maxRedialDelay = time.Second
-	// keepaliveTime ends a connection to a host that is gone while no call is made;
-	// gRPC takes no less. Calls show silence sooner.
+	// keepaliveTime is the time between pings, which end a connection to a host that is
+	// gone while no call is made; gRPC allows no less. Calls detect silence sooner.
 	keepaliveTime = 10 * time.Second
 	// bufferBytes is the size of each buffer of a connection. Messages are
 	// small, and each process holds a connection to every other.
 	bufferBytes = 2 << 10
 )
 
-// Dialer holds one way to each peer.
+// Dialer holds one Conn per peer.
 type Dialer struct {
 	token string
 	mu    sync.Mutex
 	conns map[netip.AddrPort]*Conn
 }
 
-// NewDialer returns a dialer that shows the token to each peer.
+// NewDialer returns a dialer that sends the token with each call.
 func NewDialer(token string) *Dialer {
 	return &Dialer{token: token, conns: map[netip.AddrPort]*Conn{}}
 }
 
-// Conn returns the way to the peer at the address. Its connection is opened on
-// first use.
+// Conn returns the connection to the peer at the address. It is opened on first use.
 func (d *Dialer) Conn(a netip.AddrPort) (*Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,12 +72,12 @@
 	)
 }
 
-// CloseOthers closes the connections to all other addresses.
-func (d *Dialer) CloseOthers(l map[netip.AddrPort]bool) {
+// CloseOthers closes the connections to all addresses that are not in keep.
+func (d *Dialer) CloseOthers(keep map[netip.AddrPort]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for a, c := range d.conns {
-		if !l[a] {
+		if !keep[a] {
 			c.close()
 			delete(d.conns, a)
 		}
--- a/request/claim_test.go
+++ b/request/claim_test.go
@@ -26,14 +26,14 @@
 }
 
 // claimModel is several entry hosts that claim from one shard, over a store that loses
-// answers, with clocks that differ by up to the allowed skew and with pauses inside their
-// calls. It counts the runs of each id.
+// answers, with clocks that differ by up to a second and with pauses inside their calls.
+// It counts the runs of each id.
 type claimModel struct {
 	t       *rapid.T
 	now     time.Time
 	skew    []time.Duration
 	shards  []*shard
-	memory  *standin.FaultyStore
+	store   *standin.FaultyStore
 	ids     []uuid.UUID
 	runs    map[uuid.UUID]int
 	attempt uint64
@@ -43,8 +43,8 @@
 }
 
 func newClaimModel(t *rapid.T) *claimModel {
-	m := &claimModel{t: t, now: time.Unix(1e9, 0), memory: standin.NewFaultyStore(), runs: map[uuid.UUID]int{}, busy: map[int]bool{}}
-	m.memory.Decide = m.decide
+	m := &claimModel{t: t, now: time.Unix(1e9, 0), store: standin.NewFaultyStore(), runs: map[uuid.UUID]int{}, busy: map[int]bool{}}
+	m.store.Decide = m.decide
 	for n := range rapid.IntRange(2, 3).Draw(t, "hosts") {
 		m.skew = append(m.skew, time.Duration(rapid.IntRange(0, 1000).Draw(t, "skew"))*time.Millisecond)
 		m.shards = append(m.shards, m.newShard(n))
@@ -53,12 +53,12 @@
 }
 
 func (m *claimModel) newShard(n int) *shard {
-	s := newShard(claimStore{m.memory, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.NopDeps().Log("test"), func() {})
+	s := newShard(claimStore{m.store, 0}, rate.Inf, func() time.Time { return m.clock(n) }, common.NopDeps().Log("test"), func() {})
 	s.retryDelay = 0
 	return s
 }
 
-// clock returns the time of one host's clock; two differ by MaxClockSkew at most.
+// clock returns the time of one host's clock; two differ by less than MaxClockSkew.
 func (m *claimModel) clock(n int) time.Time {
 	return m.now.Add(m.skew[n])
 }
@@ -128,9 +128,9 @@
 	m.shards[n] = m.newShard(n)
 }
 
-// TestClaimsRunAtMostOnce checks that ids run at most once, with copies through several
-// hosts, lost and late answers, pauses of any length, restarts and the removal of old
-// segments.
+// TestClaimsRunAtMostOnce checks that ids run at most once, with copies sent through
+// several hosts, lost and late answers, pauses of any length, restarts and the removal of
+// old segments.
 func TestClaimsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClaimModel(t)
@@ -139,7 +139,7 @@
 			"pass":    func(t *rapid.T) { m.t = t; m.advance() },
 			"trim":    func(t *rapid.T) { m.t = t; m.trim() },
 			"restart": func(t *rapid.T) { m.t = t; m.restart() },
-			"deliver": func(*rapid.T) { m.memory.DeliverDelayed() },
+			"deliver": func(*rapid.T) { m.store.DeliverDelayed() },
 		})
 	})
 }
@@ -176,9 +176,9 @@
 	require.Equal(t, int64(3), l.Next())
 }
 
-// TestAbandonedClaimIsNotWritten checks that a claim whose request was given up during a
-// platform outage does not take the id: the caller, who was told to retry with it, is
-// granted it then.
+// TestAbandonedClaimIsNotWritten checks that a claim whose request was abandoned during a
+// platform outage does not take the id: when the caller retries with it, as it was told
+// to, the claim is granted.
 func TestAbandonedClaimIsNotWritten(t *testing.T) {
 	m := standin.NewFaultyStore()
 	s := newShard(claimStore{m, 0}, rate.Inf, time.Now, common.NopDeps().Log("test"), func() {})
--- a/request/scheduler_test.go
+++ b/request/scheduler_test.go
@@ -50,7 +50,7 @@
 		{Name: "b", Pool: m.pool, Weight: 3},
 		{Name: "placed", Pool: "p", Weight: 1, Placed: true, Targets: placedOn},
 	})
-	m.pump()
+	m.startReady()
 }
 
 // mayRun reports whether the item may run on the target.
@@ -79,7 +79,7 @@
 		l = append(l, v)
 	}
 	m.s.SetTargets(l)
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) offer(t *rapid.T) {
@@ -97,7 +97,7 @@
 		return
 	}
 	m.waiting = append(m.waiting, i)
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) cancel(t *rapid.T) {
@@ -113,7 +113,7 @@
 	}
 	m.waiting = slices.DeleteFunc(m.waiting, func(v *Item) bool { return v == i })
 	m.ended[i] = true
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) done(t *rapid.T) {
@@ -128,23 +128,23 @@
 	}
 	if rapid.IntRange(0, 2).Draw(t, "runs on") == 0 {
 		m.s.RecordOutcome(m.now, i, o)
-		m.pump()
+		m.startReady()
 		return
 	}
 	m.running = slices.DeleteFunc(m.running, func(v *Item) bool { return v == i })
 	m.ended[i] = true
 	m.s.Done(m.now, i, o)
-	m.pump()
+	m.startReady()
 }
 
 func (m *schedulerModel) advance(t *rapid.T) {
 	m.t = t
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
-	m.pump()
+	m.startReady()
 }
 
-// pump starts all items that can start and checks each start.
-func (m *schedulerModel) pump() {
+// startReady starts all items that can start and checks each start.
+func (m *schedulerModel) startReady() {
 	for _, p := range []string{"p", "q"} {
 		for s, ok := m.s.Next(m.now, p); ok; s, ok = m.s.Next(m.now, p) {
 			m.started(s.Item)
@@ -155,7 +155,7 @@
 
 func (m *schedulerModel) started(i *Item) {
 	if m.ended[i] || !slices.Contains(m.waiting, i) {
-		m.t.Fatalf("an item started that did not wait")
+		m.t.Fatalf("an item started that was not waiting")
 	}
 	for _, o := range m.waiting {
 		if o.Service == i.Service && o.Class == i.Class && o.Deadline.Before(i.Deadline) {
@@ -187,14 +187,14 @@
 func (m *schedulerModel) checkIdleSlots() {
 	for _, d := range m.s.Dump().Targets {
 		if d.Busy > d.Slots && !m.shrunk(d.Name) {
-			m.t.Fatalf("%s is over its slots", d.Name)
+			m.t.Fatalf("%s has more runs than slots", d.Name)
 		}
 		quick := slices.ContainsFunc(m.waiting, func(i *Item) bool {
 			return i.Class == common.Quick && m.mayRun(i, d.Name)
 		})
 		due := d.QuarantinedUntil.IsZero() || !m.now.Before(d.QuarantinedUntil)
 		if quick && due && d.Busy < d.Slots && !m.probed(d.Name) {
-			m.t.Fatalf("a quick request waits although %s is free", d.Name)
+			m.t.Fatalf("a quick request waits although %s has a free slot", d.Name)
 		}
 	}
 }
@@ -233,14 +233,14 @@
 		name := fmt.Sprint("t", n)
 		_, usable := m.slots[name]
 		if got, want := m.s.Idle(name), !usable && m.busy(name) == 0; got != want {
-			t.Fatalf("%s is idle: %t, not %t", name, got, want)
+			t.Fatalf("%s is idle: got %t, want %t", name, got, want)
 		}
 	}
 }
 
 // TestSchedulerKeepsItsBounds checks that no target gets more requests than its slots,
 // that nothing starts twice, after its cancellation or out of order, that runs on a
-// removed target are still known, and that no slot stays idle while a quick request
+// removed target are still counted, and that no slot stays idle while a quick request
 // waits.
 func TestSchedulerKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -398,9 +398,9 @@
 	})
 }
 
-// TestSharesWaitForLateMembershipUpdates checks the same if the others take longer than
-// SlotShareDelay to learn of a process that starts: it uses slots only after all have
-// answered it, and so know of it.
+// TestSharesWaitForLateMembershipUpdates checks that entry hosts stay within the slots
+// even if the others take longer than SlotShareDelay to learn of a process that starts:
+// it uses slots only after all have answered it, and so know of it.
 func TestSharesWaitForLateMembershipUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &sharesModel{now: time.Unix(1e9, 0), live: []string{"a"}, all: map[string]*SlotShares{}}
