--- a/internal/checks/checks.go
+++ b/internal/checks/checks.go
@@ -6,7 +6,7 @@
 	"os"
 	"testing"
 
-	// Main sets flags that this package defines.
+	// Defines the flags that Main sets.
 	_ "pgregory.net/rapid"
 )
 
--- a/internal/local/cmd/capacity/main.go
+++ b/internal/local/cmd/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity measures what an idle entry host needs, without any requests, at several
-// numbers of entry hosts, hosts and pools, and how long a configuration takes to be in force
-// everywhere.
+// Command capacity measures the resources that an entry host uses without any requests, at
+// several numbers of entry hosts, hosts and pools, and how long a configuration takes to be in
+// force everywhere.
 package main
 
 import (
@@ -76,7 +76,7 @@
 	return slices.DeleteFunc(l, func(s size) bool { return !slices.Contains(os.Args[1:], fmt.Sprint(s.entries)) })
 }
 
-// hosts returns hosts for the platform's list. They do not exist otherwise.
+// hosts returns hosts for the platform's list. No processes stand behind them.
 func hosts(s size) []platform.Host {
 	l := make([]platform.Host, 0, s.hosts)
 	for n := range s.hosts {
@@ -93,8 +93,8 @@
 	return fmt.Sprintf("pool-%03d", n)
 }
 
-// document returns a configuration whose first pool needs a number of available hosts. Another
-// number makes it another configuration.
+// document returns a configuration whose first pool needs the given number of available hosts.
+// Configurations with different numbers differ only in this.
 func document(s size, available int) []byte {
 	names := make([]string, 0, s.pools)
 	for n := range s.pools {
--- a/internal/local/cmd/profile/main.go
+++ b/internal/local/cmd/profile/main.go
@@ -161,7 +161,8 @@
 }
 
 // categories are the categories of CPU time. A sample belongs to the first one whose function
-// is on its stack. Names of functions in package job have to follow renames there.
+// is on its stack. The names of functions in package job have to be kept in step with renames
+// there.
 var categories = []struct{ name, function string }{
 	{"garbage", "runtime.gcBgMarkWorker"},
 	{"garbage", "runtime.gcAssistAlloc"},
--- a/internal/local/document.go
+++ b/internal/local/document.go
@@ -12,7 +12,7 @@
 
 // Document returns a configuration document with a pool and a service for each name. Each
 // service has a quick job, a patient one, and one that may not be repeated. The budget of
-// each pool requires a number of available hosts in each data centre.
+// each pool requires the given number of available hosts in each data centre.
 func Document(dcs, names []string, available int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "operator: local\ndata_centres: [%s]\nteams:\n  - name: all\npools:\n", strings.Join(dcs, ", "))
@@ -109,7 +109,7 @@
 	return l
 }
 
-// DuplicateRuns returns the ids that have been run more than once, over all targets.
+// DuplicateRuns returns the ids of requests that have run more than once, over all targets.
 func (d *Deployment) DuplicateRuns() ([]string, error) {
 	all, err := d.RunsByID()
 	if err != nil {
@@ -124,7 +124,7 @@
 	return l, nil
 }
 
-// RunsByID returns how often each id has been run, over all targets.
+// RunsByID returns how often the request with each id has run, over all targets.
 func (d *Deployment) RunsByID() (map[string]int, error) {
 	all := map[string]int{}
 	for _, t := range d.Targets {
--- a/internal/local/jobs.go
+++ b/internal/local/jobs.go
@@ -240,7 +240,8 @@
 	return nil
 }
 
-// LogLines returns the lines that contain the text, from the logs of all present entry hosts.
+// LogLines returns the lines that contain the text, from the logs of the entry hosts in Entries.
+// Those that were replaced are left out.
 func (j *JobsDeployment) LogLines(text string) []string {
 	var l []string
 	for _, e := range j.Entries {
--- a/internal/local/usage.go
+++ b/internal/local/usage.go
@@ -18,7 +18,7 @@
 	IOBytes int64
 }
 
-// clockTicks is how many units of CPU time in /proc make a second.
+// clockTicks is the number of clock ticks per second, the unit of the CPU times in /proc.
 const clockTicks = 100
 
 // Usage reads the usage of the process so far.
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -10,7 +10,7 @@
 
 // Parameters of the callers.
 const (
-	// callInterval is the time between two jobs.
+	// callInterval is the time between the submissions of two jobs.
 	callInterval = 120 * time.Millisecond
 	// maxSubmitTries is how often a caller tries to submit a job, with a pause of retryDelay
 	// in between. One caller in singleTryEvery tries only once, so that some refusals are
@@ -20,17 +20,17 @@
 	retryDelay     = 400 * time.Millisecond
 	// One job in longJobEvery has tasks that run for longer than a short fault or a poll.
 	longJobEvery = 5
-	// settleTime is how long jobs may take once all faults are over: twice the sum of a
-	// silent worker's lease and of what a new owner waits for.
+	// settleTime is how long jobs may take after the injection of faults ends: twice the sum
+	// of a silent worker's lease and of the time for which a new owner waits.
 	settleTime = 40 * time.Second
 	// firstStepTasks and secondStepTasks are the numbers of tasks in the two steps of a job.
 	firstStepTasks, secondStepTasks = 3, 2
 )
 
-// queues are the queues. Each has a pool of the same name.
+// queues are the names of the queues. Each has a pool of the same name.
 var queues = []string{"blue", "green"}
 
-// newJob returns job n. Its estimates are those of a short job, also where it is a long one.
+// newJob returns job n. Its estimates are those of a short job, even if it is a long one.
 func newJob(n int) fleet.Job {
 	spec := "300ms"
 	if n%longJobEvery == 0 {
--- a/internal/soak/cancels.go
+++ b/internal/soak/cancels.go
@@ -11,16 +11,17 @@
 
 // Parameters of the jobs that callers cancel.
 const (
-	// With each cancelEvery-th job a further one is submitted that its caller cancels, at
-	// most maxCancelDelay after it was accepted.
+	// With one job in cancelledJobEvery, another one is submitted, which its caller cancels
+	// at most maxCancelDelay after it was accepted.
 	cancelledJobEvery = 2
 	maxCancelDelay    = 2500 * time.Millisecond
 	// cancelIDBase is the first id of such jobs, and cancelTasks how many tasks each has.
 	cancelIDBase, cancelTasks = 0x2000000, 3
 	// cancelledRunTimeout is how long tasks of a cancelled job may still run: the time in
-	// which a cancellation has to reach the owner, plus that of a stop.
+	// which a cancellation has to reach the owner, plus the time that a stop takes.
 	cancelledRunTimeout = 3*time.Second + 400*time.Millisecond
-	cancelled           = `{"state":"cancelled"}`
+	// cancelled is the answer for a job that has been cancelled.
+	cancelled = `{"state":"cancelled"}`
 )
 
 // cancellation is a job whose cancellation was acknowledged.
@@ -91,8 +92,8 @@
 		l := r.cancellations
 		r.mu.Unlock()
 		for _, c := range l {
-			for _, a := range r.deployment.Fleet.Checker.RunsOfJob(c.id) {
-				r.checkStopped(c, a, now, calmFrom)
+			for _, run := range r.deployment.Fleet.Checker.RunsOfJob(c.id) {
+				r.checkStopped(c, run, now, calmFrom)
 			}
 		}
 	}
@@ -101,29 +102,29 @@
 // checkStopped checks that a run of a cancelled job ends within cancelledRunTimeout of the
 // cancellation or, if the faults end later, of calmFrom. For a run whose start order was
 // executed late, the time begins only once the owner must have learnt of the run.
-func (r *Run) checkStopped(c *cancellation, a fleet.StartedRun, now, calmFrom time.Time) {
+func (r *Run) checkStopped(c *cancellation, run fleet.StartedRun, now, calmFrom time.Time) {
 	due := c.ackedAt
-	if a.Delayed && a.StartedAt.Add(reconnectTime).After(due) {
-		due = a.StartedAt.Add(reconnectTime)
+	if run.Delayed && run.StartedAt.Add(reconnectTime).After(due) {
+		due = run.StartedAt.Add(reconnectTime)
 	}
 	if calmFrom.After(due) {
 		due = calmFrom
 	}
-	if c.reported[a.Task] || now.Sub(due) < cancelledRunTimeout {
+	if c.reported[run.Task] || now.Sub(due) < cancelledRunTimeout {
 		return
 	}
-	c.reported[a.Task] = true
-	r.violationf("%s run %d still runs on %s, started %.1f s ago (late: %t), %.1f s after its job was cancelled", a.Task, a.Number, a.Worker,
-		now.Sub(a.StartedAt).Seconds(), a.Delayed, now.Sub(c.ackedAt).Seconds())
+	c.reported[run.Task] = true
+	r.violationf("%s run %d still runs on %s, started %.1f s ago (late: %t), %.1f s after its job was cancelled", run.Task, run.Number, run.Worker,
+		now.Sub(run.StartedAt).Seconds(), run.Delayed, now.Sub(c.ackedAt).Seconds())
 }
 
 // countLateStarts counts the start orders that were executed late, and those among them whose
 // job's cancellation had been acknowledged before.
 func (r *Run) countLateStarts() {
-	for _, a := range r.deployment.Fleet.Checker.DelayedStarts() {
+	for _, run := range r.deployment.Fleet.Checker.DelayedStarts() {
 		r.count("late")
 		for _, c := range r.cancellations {
-			if strings.HasPrefix(a.Task, c.id+".") && a.StartedAt.After(c.ackedAt) {
+			if strings.HasPrefix(run.Task, c.id+".") && run.StartedAt.After(c.ackedAt) {
 				r.count("late and cancelled")
 			}
 		}
--- a/internal/soak/configs.go
+++ b/internal/soak/configs.go
@@ -12,7 +12,7 @@
 // Parameters of the configuration checks.
 const (
 	// configTimeout is how long after its acceptance a configuration may take to be in force
-	// on each connected entry host: the daemons have watches of two seconds.
+	// on each connected entry host. It is the limit that the daemons have by default.
 	configTimeout = 2 * time.Second
 	// reconnectTime is how long an entry host and the store must have been without faults
 	// before the entry host counts as connected.
@@ -21,7 +21,7 @@
 	configPollInterval = 100 * time.Millisecond
 )
 
-// configuration is a configuration with a queue that no other configuration has.
+// configuration is one that the run writes, with a queue that no other configuration has.
 type configuration struct {
 	// acceptedAt is zero until the store has accepted it.
 	acceptedAt time.Time
@@ -50,8 +50,9 @@
 // configState says which configurations have been written by a point in time.
 type configState struct {
 	at time.Time
-	// due is the newest configuration that has to be in force by then, newest the last one
-	// that was accepted, or -1. begun counts those whose write has begun.
+	// due is the newest configuration that has to be in force by then, and newest the last
+	// one that was accepted. Each is -1 if there is none. begun counts those whose write has
+	// begun.
 	due, newest, begun int
 }
 
@@ -107,8 +108,9 @@
 	}
 }
 
-// poll returns the newest configuration that is in force, or -1 if it is older than the one
-// before the due one. It reports false if the entry host does not answer or has none yet.
+// poll returns the configuration that is in force. It looks no further back than to the one
+// before the due one, and returns -1 if the one in force is older. It reports false if the entry
+// host does not answer or has no configuration yet.
 func (c *configChecker) poll(x *local.JobsEntry, s configState) (int, bool) {
 	for i := s.newest; i >= max(0, s.due-1); i-- {
 		code, body, err := x.Call(http.MethodGet, extraQueue(i), "", nil)
@@ -122,8 +124,9 @@
 	return -1, true
 }
 
-// check checks the result of a poll: a configuration older than one that was seen before is a
-// violation, and so is one older than the due one if the entry host is connected.
+// check checks the result of a poll. It is a violation if an entry host returns to a
+// configuration older than one that was seen before, or if a connected one has a configuration
+// older than the due one.
 func (c *configChecker) check(x *local.JobsEntry, s configState, found int) {
 	if found >= 0 && found < c.highest || found < c.highest && c.highest == s.newest && c.run.configState().begun == s.begun {
 		c.run.violationf("%s went back from configuration %d to %d", x.Name, c.highest, found)
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -17,7 +17,8 @@
 	// maxCrashes is how many workers such a task may crash under one owner. Each later owner
 	// may miss one crash, which allows one more.
 	maxCrashes = 5
-	failed     = `{"state":"failed"}`
+	// failed is the answer for a job that has failed.
+	failed = `{"state":"failed"}`
 )
 
 // runCrashingJobs runs jobs that crash their workers, one after the other, until the faults
@@ -66,7 +67,7 @@
 	}
 }
 
-// takeovers returns how often an entry host has taken over the ownership.
+// takeovers returns how often an entry host has become the owner, according to the logs.
 func (r *Run) takeovers() int {
 	return len(r.deployment.LogLines(`"msg":"takes over"`))
 }
--- a/internal/soak/entrystops.go
+++ b/internal/soak/entrystops.go
@@ -41,8 +41,8 @@
 	callers.Wait()
 }
 
-// useConn sends requests on the connection, with pauses, until an answer announces that it is
-// closed.
+// useConn sends requests on the connection, with pauses, until an answer announces that the
+// host closes it.
 func (r *Run) useConn(x *local.JobsEntry, k *local.KeepAliveConn) {
 	for {
 		a, err := k.RoundTrip(x.QueueLengthRequest(queues[0]))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -144,12 +144,12 @@
 	r.beginFault(y.Name)()
 }
 
-// machineReplacementDelay is the time between the removal of a machine and the start of its
+// machineReplacementDelay is the time between the removal of a machine and the addition of its
 // replacement.
 const machineReplacementDelay = 2 * time.Second
 
-// removeMachine removes the machine with the most lasting tasks for good and replaces it
-// later.
+// removeMachine removes the machine with the most lasting tasks for good and replaces it after
+// machineReplacementDelay.
 func (r *Run) removeMachine(how fleet.Removal) {
 	id, pool := r.deployment.Fleet.MostLasting()
 	if r.deployment.Fleet.Remove(id, how) != nil {
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -9,8 +9,8 @@
 
 // Parameters of the key checks.
 const (
-	// keysWithin is how long a revoked key may still be accepted, on any entry host and
-	// however it is partitioned. The daemons get it as a setting.
+	// keysWithin is how long a revoked key may still be accepted on any entry host, even on
+	// one that is partitioned. The daemons get it as a setting.
 	keysWithin = 5 * time.Second
 	// keyCallInterval is the pause between two calls with invalid keys.
 	keyCallInterval = 200 * time.Millisecond
--- a/internal/soak/lasting.go
+++ b/internal/soak/lasting.go
@@ -22,8 +22,8 @@
 	// minCalm is how long there must have been no fault before a violation counts: the time
 	// for which the task is overdue, and the lease of a worker before that.
 	minCalm = overdueMargin + 4*time.Second
-	// lastingWatchTime is how long lasting tasks are watched after the last fault was drawn: a fault
-	// takes up to five seconds, and a violation shows only after that.
+	// lastingWatchTime is how long lasting tasks are watched after the injection of faults
+	// ends: the last fault takes up to five seconds, and a violation shows only after that.
 	lastingWatchTime = 5*time.Second + restartTimeout + overdueMargin
 	// checkInterval is the pause between two checks of the tasks.
 	checkInterval = 20 * time.Millisecond
@@ -48,7 +48,8 @@
 	return l
 }
 
-// submitLastingJob submits a job with one lasting step before any fault and returns its tasks.
+// submitLastingJob submits a job with one lasting step and returns its tasks. It has to be
+// called before the first fault.
 func (r *Run) submitLastingJob(i, id int, spec string, s fleet.Step) []*lastingTask {
 	queue, name := queues[i%len(queues)], fmt.Sprintf("%016x", id)
 	code, body, err := r.entry(0).Call(http.MethodPost, queue, name, fleet.Job{Spec: spec, Steps: []fleet.Step{s}})
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -69,7 +69,7 @@
 	Owner     bool
 	LinkState LinkState
 	Duration  time.Duration
-	// Hangs reports whether connections to a removed host hang instead of being refused.
+	// Hangs says that connections to a removed host hang instead of being refused.
 	Hangs bool
 	// Upstream says which connections are silenced: those of all entry hosts if All, and
 	// only their answers if OneWay.
@@ -96,8 +96,9 @@
 	return fmt.Sprintf("%6.2fs %-9s %-9s link state %d for %s", e.At.Seconds(), e.Kind, host, e.LinkState, e.Duration)
 }
 
-// Faults are injected for burstTime, followed by calmTime without any, which is as long as
-// lasting tasks need to show that they are ready again.
+// Faults are injected for burstTime, followed by a calm period of calmTime, which is long enough
+// to see whether lasting tasks are ready again. Of the events of Plan, only bandwidth limits, worker
+// restarts and changes of the configuration go on during calm periods.
 const (
 	burstTime = 20 * time.Second
 	calmTime  = lastingWatchTime
@@ -117,8 +118,8 @@
 		l = append(l, orphanedRuns(r, entries, from, to)...)
 	}
 	l = append(l, configurations(r, until)...)
-	// These have generators of their own, so that older seeds still give the same other
-	// events.
+	// These use generators of their own, so that they do not change the other events of a
+	// seed.
 	l = append(l, bandwidthLimits(rand.New(rand.NewPCG(seed, 2)), entries, until)...)
 	l = append(l, workerRestarts(rand.New(rand.NewPCG(seed, 3)), until)...)
 	return sortByTime(l)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -37,7 +37,7 @@
 	Options
 	deployment *local.JobsDeployment
 	links      map[string]links
-	// settledAt is settleTime after the last fault was drawn: all jobs have to be done by
+	// settledAt is settleTime after the injection of faults ends: all jobs have to be done by
 	// then. Lasting tasks, cancelled jobs, configurations and keys are checked until
 	// watchUntil.
 	settledAt, watchUntil time.Time
@@ -160,8 +160,8 @@
 	}
 }
 
-// budgetedEventStride thins the plan out next to a series of waves, to one event in so many:
-// with denser faults, no owner lasts long enough to drain hosts.
+// budgetedEventStride is the number of planned events of which one is kept in a run with a
+// series of waves: with denser faults, no owner lasts long enough to drain hosts.
 const budgetedEventStride = 5
 
 // plan returns the events of the run.
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -47,8 +47,8 @@
 	return l
 }
 
-// bandwidthLimits returns limits of 0.25 to 2 Mbit/s, for some seconds or until the end. These
-// are low since the soak's deployment has a tenth of the workers of a large one.
+// bandwidthLimits returns limits of 0.25 to 2 Mbit/s, for some seconds or until the end. They
+// are low because the soak's deployment has a tenth of the workers of a large one.
 func bandwidthLimits(r *rand.Rand, entries int, until time.Duration) []Event {
 	var l []Event
 	for at := randomDuration(r, time.Second, 10*time.Second); at < until; at += randomDuration(r, 3*time.Second, 15*time.Second) {
@@ -67,12 +67,12 @@
 func workerRestarts(r *rand.Rand, until time.Duration) []Event {
 	var l []Event
 	for at := randomDuration(r, time.Second, 4*time.Second); at < until; at += randomDuration(r, 500*time.Millisecond, 5*time.Second) {
-		a := fleet.Restart{Times: 1, Moves: r.IntN(3) == 0, DownFor: randomDuration(r, 0, 400*time.Millisecond), RecordAfter: randomDuration(r, 0, 1500*time.Millisecond)}
-		a.ClockOff = randomDuration(r, 0, 6*time.Second) - 3*time.Second
+		restart := fleet.Restart{Times: 1, Moves: r.IntN(3) == 0, DownFor: randomDuration(r, 0, 400*time.Millisecond), RecordAfter: randomDuration(r, 0, 1500*time.Millisecond)}
+		restart.ClockOff = randomDuration(r, 0, 6*time.Second) - 3*time.Second
 		if r.IntN(4) == 0 {
-			a.Times = 2 + r.IntN(2)
+			restart.Times = 2 + r.IntN(2)
 		}
-		l = append(l, Event{At: at, Kind: WorkerRestart, Restart: a})
+		l = append(l, Event{At: at, Kind: WorkerRestart, Restart: restart})
 	}
 	return l
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,7 +23,7 @@
 			require.Less(t, e.Entry, 4)
 		}
 	}
-	require.Len(t, seen, len(weights)+6, "each weighted kind occurs, and the six kinds of the series")
+	require.Len(t, seen, len(weights)+6, "each weighted kind occurs, and the six kinds that only series have")
 }
 
 // echo starts a server that sends each byte back, and returns its address.
--- a/tests/crash_test.go
+++ b/tests/crash_test.go
@@ -12,8 +12,8 @@
 	"amberway/internal/standin/fleet"
 )
 
-// maxCrashes is how many workers one task may crash: users accept two more starts after three
-// crashes.
+// maxCrashes is how many workers one task may crash: after three crashes, users accept at most
+// two more starts.
 const maxCrashes = 5
 
 // failed is the answer for a job that has failed.
--- a/tests/deployment_test.go
+++ b/tests/deployment_test.go
@@ -88,7 +88,7 @@
 }
 
 // requireConsistentRuns requires that no request that may not be repeated ran twice, and that
-// the verdict that its caller got is true.
+// the verdict that its caller got fits its runs.
 func requireConsistentRuns(t *testing.T, d *local.Deployment, s standin.LoadReport) {
 	t.Helper()
 	runs, err := d.RunsByID()
--- a/tests/failure_test.go
+++ b/tests/failure_test.go
@@ -126,7 +126,7 @@
 	res := post(t, d.Entries[0], "/tint/once", "x", key.Clone())
 	require.Equal(t, http.StatusServiceUnavailable, res.StatusCode)
 	require.NotEmpty(t, res.Header.Get("Retry-After"))
-	require.Less(t, time.Since(start), 4*time.Second, "an abandoned request is answered immediately")
+	require.Less(t, time.Since(start), 4*time.Second, "an entry host answers as soon as it gives up on a request")
 	requireIssuedIDRunsOnce(t, d)
 
 	before, err := d.Stats()
@@ -138,7 +138,7 @@
 	}, 10*time.Second, 100*time.Millisecond)
 	requireConsistentRuns(t, d, s)
 	res = post(t, d.Entries[1], "/tint/once", "x", key.Clone())
-	require.Equal(t, "ran", res.Header.Get(common.HeaderVerdict), "the caller retried with the same id")
+	require.Equal(t, "ran", res.Header.Get(common.HeaderVerdict), "a caller that retries with the same id")
 	after, err := d.Stats()
 	require.NoError(t, err)
 	require.Less(t, after.Reads-before.Reads, int64(400), "too many reads after the outage")
--- a/tests/jobs_cancel_test.go
+++ b/tests/jobs_cancel_test.go
@@ -22,8 +22,8 @@
 	return l
 }
 
-// TestRunsOfRemovedOwnerEndWhenTheirJobIsCancelled cancels a job whose owner is gone for good.
-// The next owner, which has started none of the job's tasks, has to stop the runs.
+// TestRunsOfRemovedOwnerEndWhenTheirJobIsCancelled cancels a job after its owner was killed for
+// good. The next owner, which has started none of the job's tasks, has to stop the runs.
 func TestRunsOfRemovedOwnerEndWhenTheirJobIsCancelled(t *testing.T) {
 	j := startJobs(t)
 	long := fleet.Job{Spec: "lasts", Steps: []fleet.Step{{Count: 6, CPU: 500, MemMB: 10, Daemon: true}}}
--- a/tests/jobs_test.go
+++ b/tests/jobs_test.go
@@ -56,8 +56,8 @@
 
 const succeeded = `200 {"state":"succeeded"}`
 
-// jobTimeout is how long tests wait for jobs. For comparison, a change of owner takes two
-// seconds, and a silent worker's lease expires after four.
+// jobTimeout is how long tests wait for jobs. A change of owner takes two seconds, and a silent
+// worker's lease expires after four.
 const jobTimeout = 25 * time.Second
 
 func TestJobStateIsTheSameOnEveryEntryHost(t *testing.T) {
@@ -86,9 +86,9 @@
 		"no such queue":     {http.MethodPost, "violet", jobID(1), shortJob("1ms"), http.StatusNotFound},
 		"no such job":       {http.MethodGet, "blue", jobID(2), nil, http.StatusGone},
 		"nothing to cancel": {http.MethodDelete, "blue", jobID(2), nil, http.StatusGone},
-		"no id":             {http.MethodPost, "blue", "xyz", shortJob("1ms"), http.StatusNotFound},
+		"invalid id":        {http.MethodPost, "blue", "xyz", shortJob("1ms"), http.StatusNotFound},
 		"no steps":          {http.MethodPost, "blue", jobID(3), fleet.Job{Spec: "1ms"}, http.StatusBadRequest},
-		"no job":            {http.MethodPost, "blue", jobID(3), "text", http.StatusBadRequest},
+		"invalid job":       {http.MethodPost, "blue", jobID(3), "text", http.StatusBadRequest},
 		"too large":         {http.MethodPost, "blue", jobID(3), shortJob(fmt.Sprintf("%70000d", 1)), http.StatusRequestEntityTooLarge},
 		"long spec":         {http.MethodPost, "blue", jobID(3), shortJob(fmt.Sprintf("%4001d", 1)), http.StatusBadRequest},
 		"other method":      {http.MethodPut, "blue", jobID(3), nil, http.StatusMethodNotAllowed},
--- a/tests/restart_test.go
+++ b/tests/restart_test.go
@@ -19,9 +19,9 @@
 )
 
 // TestTasksResumeAfterWorkerRestartsUnderItsID has workers crash and restart under their ids
-// before their records expire: at the same address or another, with clocks that were set back,
-// and several times. The platform's list of machines never shows the restart, and the store
-// only later: until then, only what the worker's own answers say about its start does.
+// before their records expire: at the same address or another, with clocks that are off, and
+// several times. The platform's list of machines never shows the restart, and the store shows it
+// only later. Until then, the restart shows only in the worker's own answers.
 func TestTasksResumeAfterWorkerRestartsUnderItsID(t *testing.T) {
 	for name, r := range map[string]fleet.Restart{
 		"at once":                {Times: 1},
@@ -34,8 +34,8 @@
 			t.Parallel()
 			j := startJobsOn(t, 1)
 			submit(t, j, jobID(1), lastingJob())
-			// The next incarnation numbers its ended runs from the start again, so its numbers
-			// clash with those of these runs.
+			// These runs end before the restart. The next incarnation numbers its ended runs
+			// from the start again, so the same numbers occur twice.
 			runShortJobs(t, j, 10)
 			require.Eventually(t, func() bool { return allRun(j, jobID(1)) }, jobTimeout, pollInterval)
 			crashed := time.Now()
@@ -73,5 +73,5 @@
 	restarted := time.Now()
 	require.NotEmpty(t, j.Fleet.Restart(fleet.Restart{Times: 1, Moves: true}))
 	require.Eventually(t, func() bool { return j.Fleet.Checker.IsRunning(task) }, shortRestartTimeout, pollInterval)
-	t.Logf("the task runs %s after the record", time.Since(restarted).Round(time.Millisecond))
+	t.Logf("the task runs %s after the restart", time.Since(restarted).Round(time.Millisecond))
 }
--- a/tests/silentconn_test.go
+++ b/tests/silentconn_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// configTimeout is how long a configuration may take to be in force that is accepted just after
-// connections were silenced. Connected entry hosts have to apply it within two seconds, and they
-// count as connected once their connections have worked for three seconds.
+// configTimeout is how long a configuration that is accepted just after connections were
+// silenced may take to be in force. Connected entry hosts have to apply it within two seconds, and
+// they count as connected once their connections have worked for three seconds.
 const configTimeout = 3 * time.Second
 
 // waitConfig waits until the entry host has the configuration, which shows by whether it knows
@@ -83,8 +83,8 @@
 }
 
 // hasQueue reports whether the entry host knows the queue violet. It asks for an invalid job
-// id, which is answered with status 404 in both cases, but with a reason that differs. ok is
-// false without such an answer.
+// id, which is answered with status 404 in both cases, but with different reasons. ok is false
+// without such an answer.
 func hasQueue(t *testing.T, e *local.JobsEntry) (known, ok bool) {
 	s := jobState(t, e, "violet", "none")
 	return !strings.Contains(s, "no such queue"), strings.HasPrefix(s, "404 ")
--- a/tests/slots_test.go
+++ b/tests/slots_test.go
@@ -11,8 +11,8 @@
 	"amberway/internal/standin"
 )
 
-// overload returns a load that is more than two targets with eight slots each can run, at 50 ms
-// a request.
+// overload returns a load of requests that run for 50 ms each, more than two targets with eight
+// slots each can run.
 func overload(d *local.Deployment, count int) standin.Load {
 	return standin.Load{
 		Entries: d.URLs(), Count: count, Interval: 1560 * time.Microsecond,
