--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -58,9 +58,8 @@
 	conns        map[*proxiedConn]bool
 }
 
-// proxiedConn is a client's connection and the one to the upstream server. A direction can
-// lose all bytes from a moment on, for good; the other side then does not learn of a close
-// either.
+// proxiedConn is a client's connection and the one to the upstream server. Either direction can
+// begin to lose all bytes, for good. A close is then not passed on in that direction either.
 type proxiedConn struct {
 	client, server            net.Conn
 	loseRequests, loseAnswers atomic.Bool
