--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -38,7 +38,7 @@
 	case Freeze:
 		r.freezeEntry(x, e.Duration)
 	case Hup:
-		r.sendHangUp(x)
+		r.sendHup(x)
 	case LinkFault:
 		r.impairLinks(x.Name, e.LinkState, e.Duration)
 	case BandwidthLimit:
@@ -176,8 +176,8 @@
 	r.recordError(r.deployment.Launch(x))
 }
 
-// sendHangUp has an entry host reload its settings.
-func (r *Run) sendHangUp(x *local.JobsEntry) {
+// sendHup has an entry host reload its settings.
+func (r *Run) sendHup(x *local.JobsEntry) {
 	if r.reserve(x.Name) {
 		_ = x.Signal(syscall.SIGHUP)
 		r.release(x.Name)
