--- a/commands/settings.go
+++ b/commands/settings.go
@@ -173,10 +173,10 @@
 		report("--store and --platform exclude each other: a daemon serves jobs or requests")
 	}
 	if s.ConfigWithin < minConfigWithin {
-		report("--config-within: %s is below %s, in which no configuration is sure to be in force", s.ConfigWithin, minConfigWithin)
+		report("--config-within: %s is below the minimum of %s", s.ConfigWithin, minConfigWithin)
 	}
 	if s.KeysWithin != 0 && s.KeysWithin < s.ConfigWithin {
-		report("--keys-within: %s is below --config-within, by which entry hosts hear of the keys", s.KeysWithin)
+		report("--keys-within: %s is below --config-within, the time in which entry hosts learn of changed keys", s.KeysWithin)
 	}
 	if s.Cores <= 0 {
 		report("--cores: %g is not above zero", s.Cores)
@@ -191,7 +191,7 @@
 		report("--memory-mb: %g is below zero", s.MemoryMB)
 	}
 	if s.Orders != "call" {
-		report("--orders: %q is not known, workers are told by call", s.Orders)
+		report("--orders: %q is not known; workers take orders by call only", s.Orders)
 	}
 }
 
--- a/common/http_client.go
+++ b/common/http_client.go
@@ -133,7 +133,7 @@
 	// before and after its start: a long answer on a narrow link is not silent as long as
 	// it makes progress. Zero leaves the limit to the context.
 	StallTimeout time.Duration
-	// MaxReplyBytes bounds the body of the answer; zero means maxReply.
+	// MaxReplyBytes bounds the body of the Reply; zero means maxReply.
 	MaxReplyBytes int64
 	// repeatable says that the client repeats the call if its connection is not trusted.
 	repeatable bool
--- a/common/problem.go
+++ b/common/problem.go
@@ -21,7 +21,7 @@
 	HeaderDeadline = "Amberway-Deadline"
 	// HeaderRequestID carries the id of the request to the target and back.
 	HeaderRequestID = "Amberway-Request-Id"
-	// HeaderHop marks a request that another data centre has forwarded.
+	// HeaderHop marks a request that another entry host has relayed.
 	HeaderHop = "Amberway-Hop"
 	// HeaderIdempotencyKey carries the caller's id of a request, as in the IETF draft on
 	// idempotency keys.
--- a/internal/local/cmd/demo/main.go
+++ b/internal/local/cmd/demo/main.go
@@ -127,7 +127,7 @@
 		fmt.Printf("%-42s %s\n", "host "+h.Name, h.State)
 	}
 	if t.Lost+t.Mismatched+len(duplicates)+t.Late > 0 || t.Answered < t.Sent*9/10 || code != 0 {
-		return fmt.Errorf("something was lost, late, crossed or doubled, or too little was answered")
+		return fmt.Errorf("requests were lost, late, crossed or doubled, too few were answered, or the stopped entry host failed")
 	}
 	return nil
 }
--- a/internal/local/cmd/jobs/main.go
+++ b/internal/local/cmd/jobs/main.go
@@ -164,7 +164,7 @@
 	for c, n := range r.statusCodes {
 		fmt.Fprintf(w, "answers with status %d (0: none)\t%d\n", c, n)
 	}
-	fmt.Fprintf(w, "runs begun\t%d of %d needed\n", j.Fleet.Checker.StartCount(), 5*jobCount)
+	fmt.Fprintf(w, "runs started\t%d of %d needed\n", j.Fleet.Checker.StartCount(), 5*jobCount)
 	fmt.Fprintf(w, "slowest job\t%s\n", r.maxDuration.Round(time.Millisecond))
 	fmt.Fprintf(w, "moves between pools\t%d\n", j.Fleet.Moves())
 	fmt.Fprintf(w, "wave\t%s, at most %d machines down at once\n", j.Fleet.WaveState(waveNumber), j.Fleet.MaxDown(waveNumber))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -152,9 +152,9 @@
 
 // injectFaults injects the events of the plan, each at its time.
 func (r *Run) injectFaults(wg *sync.WaitGroup) {
-	begun := time.Now()
+	start := time.Now()
 	for _, e := range r.plan() {
-		time.Sleep(e.At - time.Since(begun))
+		time.Sleep(e.At - time.Since(start))
 		fmt.Fprintln(r.Out, e)
 		wg.Go(func() { r.inject(e) })
 	}
--- a/job/admission.go
+++ b/job/admission.go
@@ -22,8 +22,8 @@
 	maxBacklogDelay = 5 * time.Second
 	// fractionDecrease multiplies the admitted fraction at each evaluation under overload,
 	// fractionIncrease at each with room to spare; a fraction below minFraction becomes
-	// zero. Admitting all or nothing made refused callers return all at once when a queue
-	// opened: half a second brought work for three to six seconds.
+	// zero. When all jobs or none were admitted, all refused callers came back as soon as a
+	// queue accepted jobs again: half a second of arrivals was work for three to six seconds.
 	fractionDecrease = 0.4
 	fractionIncrease = 1.3
 	minFraction      = 0.03
--- a/job/admission_policy_test.go
+++ b/job/admission_policy_test.go
@@ -133,7 +133,7 @@
 	require.Equal(t, http.StatusOK, post(idD, "q").Code, "an earlier owner's policy expires")
 }
 
-// A takeover on a narrow link takes seconds. If the policy lapsed meanwhile, all arriving
+// A takeover on a narrow link takes seconds. If the policy expired meanwhile, all arriving
 // jobs would be accepted and queue behind the backlog that the policy was made for.
 func TestNextOwnerRepublishesAdmissionAtOnce(t *testing.T) {
 	f := newFixture(t)
--- a/job/elect.go
+++ b/job/elect.go
@@ -31,7 +31,7 @@
 	// vacancy lasts longer by about a third of the lease's time to live.
 	smallHostDelay = 600 * time.Millisecond
 	// ownerCores is how many cores a busy owner uses: 0.4 with 350 workers and 300 starts
-	// a second. Hosts with that much claim at once.
+	// a second. A host with fewer cores delays its claim.
 	ownerCores = 0.4
 	// ownerLinkMbps is the bandwidth that a busy owner uses, in megabits a second: 1,000
 	// starts a second of 1.5 kB each, including the polls that report their ends.
@@ -41,7 +41,7 @@
 	ownerMemoryMB = 150
 )
 
-// Size tells the resources of a host.
+// Size describes the resources of a host.
 type Size struct {
 	// Cores is the number of cores, which may be a fraction.
 	Cores float64
@@ -53,7 +53,7 @@
 	OrdersPerSecond float64
 }
 
-// fitness tells how much of a busy owner's load the host can carry, from 0 to 1.
+// fitness returns how much of a busy owner's load the host can carry, from 0 to 1.
 func (s Size) fitness() float64 {
 	f := min(1, s.Cores/ownerCores)
 	if s.LinkMbps > 0 {
--- a/job/listing.go
+++ b/job/listing.go
@@ -236,7 +236,7 @@
 		return
 	}
 	how := w.lossCause()
-	c.emit(LogLine{What: "worker gone", Worker: w.ID, Why: why, Fields: []any{"runs", len(w.runs), "met", w.contacted, "how", string(how)}})
+	c.emit(LogLine{What: "worker removed", Worker: w.ID, Why: why, Fields: []any{"runs", len(w.runs), "met", w.contacted, "how", string(how)}})
 	suspects := w.suspects(how)
 	for _, r := range w.runs {
 		if next != nil && !r.listed {
--- a/job/loss.go
+++ b/job/loss.go
@@ -10,7 +10,7 @@
 	// lossCrash: its worker ended without notice.
 	lossCrash loss = "crashed"
 	// lossExpired: its worker is silent and the lease has expired. The worker may have crashed
-	// or be cut off.
+	// or be partitioned.
 	lossExpired loss = "lapsed"
 	// lossLeft: its worker had announced its end, or its record had been removed before it fell
 	// silent.
--- a/job/progress.go
+++ b/job/progress.go
@@ -12,7 +12,7 @@
 )
 
 // Progress is what the store holds of a job beside its record: enough for another owner to
-// continue the job, and for any entry host to tell its state.
+// continue the job, and for any entry host to report its state.
 type Progress struct {
 	State platform.JobState `json:"s"`
 	// FinalAt is when the job reached its final state.
@@ -26,7 +26,7 @@
 	Leftover *LeftoverRuns `json:"r,omitempty"`
 }
 
-// LeftoverRuns tells what unfinished runs of a final job count against its team's cap. The
+// LeftoverRuns records what unfinished runs of a final job count against its team's cap. The
 // next owner may find such runs on workers after the job's record was deleted.
 type LeftoverRuns struct {
 	Team    string `json:"m"`
--- a/job/removed.go
+++ b/job/removed.go
@@ -3,8 +3,8 @@
 import "time"
 
 // A host that was removed for good answers nothing and starts no other worker. Its row, which
-// would show the end of its worker, is no longer in the machine list. Only that absence tells
-// it from a host that is cut off and goes on working.
+// would show the end of its worker, is no longer in the machine list. Only that absence
+// distinguishes it from a partitioned host, which goes on working.
 
 // removedAfterLists is how many machine lists in a row have to lack a host that was removed. A
 // list is read in pages that are no consistent snapshot, so that one may lack a host that
--- a/job/removed_test.go
+++ b/job/removed_test.go
@@ -77,7 +77,7 @@
 	require.EqualValues(t, "w1", l[0].Worker.ID)
 }
 
-// A host that is cut off is still in the machine list: its worker may go on.
+// A partitioned host is still in the machine list: its worker may go on.
 func TestNextOwnerWaitsForAHostThatTheListNames(t *testing.T) {
 	f := newTakeoverFixture(t)
 	machines := []platform.Machine{machineOf("w1", "blue"), machineOf("w2", "blue")}
--- a/job/roster.go
+++ b/job/roster.go
@@ -106,7 +106,7 @@
 	return r
 }
 
-// rosterChanges tells which shards of the roster have yet to be written.
+// rosterChanges records which shards of the roster have yet to be written.
 type rosterChanges struct {
 	shards  [rosterShards]bool
 	ordered [orderedShards]bool
--- a/job/speed.go
+++ b/job/speed.go
@@ -35,9 +35,9 @@
 
 // sample takes one sample.
 func (s *speedMonitor) sample() {
-	begun := s.now()
+	start := s.now()
 	sum := xxhash.Sum64(s.block)
-	s.add(s.now().Sub(begun) + time.Duration(sum&1))
+	s.add(s.now().Sub(start) + time.Duration(sum&1))
 }
 
 func (s *speedMonitor) add(d time.Duration) {
--- a/job/storehealth.go
+++ b/job/storehealth.go
@@ -17,7 +17,7 @@
 	storeProbeEvery = 250 * time.Millisecond
 )
 
-// storeHealth tells by the outcomes of writes whether the store is unreachable.
+// storeHealth detects from the outcomes of writes whether the store is unreachable.
 type storeHealth struct {
 	mu       sync.Mutex
 	failures int
--- a/job/teams_test.go
+++ b/job/teams_test.go
@@ -178,7 +178,7 @@
 }
 
 // A worker may be known from the roster only, which does not hold its capacity: its record
-// was deleted while it was cut off and owners changed. What may run on it must count in
+// was deleted while it was partitioned and owners changed. What may run on it must count in
 // full. That count was limited to the capacity of the workers that had not answered, which
 // was taken for zero, and a team with a cap of 4,000 thousandths of a core had 5,500 running.
 func TestCapCountsRunsOnAWorkerOfUnknownCapacity(t *testing.T) {
--- a/job/waves.go
+++ b/job/waves.go
@@ -34,8 +34,8 @@
 	began []string
 	// reported says that the wave is reported as done.
 	reported bool
-	// knownSince is when the owner learned of the wave, listsRead the number of lists of
-	// machines that were requested and read since.
+	// knownSince is when the owner learned of the wave, listsRead the number of
+	// machine lists that were requested and read since.
 	knownSince time.Time
 	listsRead  int
 }
@@ -171,7 +171,7 @@
 		if v.listsRead < removedAfterLists {
 			c.relistSoon()
 		} else {
-			c.emit(LogLine{What: "wave machine gone", Fields: []any{"wave", v.Number, "machine", n, "down", v.down[n]}})
+			c.emit(LogLine{What: "wave machine removed", Fields: []any{"wave", v.Number, "machine", n, "down", v.down[n]}})
 			v.drop(n)
 		}
 	}
--- a/job/worker.go
+++ b/job/worker.go
@@ -64,8 +64,8 @@
 	// inherited reports whether an earlier owner may have started runs on it; inRoster, whether
 	// the stored roster says that this owner may have.
 	inherited, inRoster bool
-	// offRoster reports whether it was taken off the roster again, as nothing runs there and its
-	// machine has an order.
+	// offRoster reports whether it has been removed from the roster because its machine has an
+	// order and nothing runs on it.
 	offRoster bool
 	// contacted reports whether it has answered a poll with the owner's fence.
 	contacted bool
--- a/job/world_teams_test.go
+++ b/job/world_teams_test.go
@@ -75,7 +75,7 @@
 }
 
 // recordCap records the highest cap that may apply to a start when it is ordered. A replaced
-// owner that is cut off goes on for ownerAuthority. Its successor leaves room for that below
+// owner that is partitioned goes on for ownerAuthority. Its successor leaves room for that below
 // the cap at the time of the takeover.
 func (w *world) recordCap(o *worldOwner, a StartRun) {
 	within := configDelay
--- a/job/write_queue.go
+++ b/job/write_queue.go
@@ -45,8 +45,8 @@
 	lastEnds map[*worker]int64
 	puts     []platform.Put
 	deletes  []string
-	// changes tells which shards of the roster are in the write, workers and machines
-	// which workers and ordered machines they name.
+	// changes records which shards of the roster are in the write; workers and machines are
+	// the workers and ordered machines that these shards name.
 	changes  rosterChanges
 	workers  []*worker
 	machines []string
--- a/request/accept.go
+++ b/request/accept.go
@@ -32,7 +32,7 @@
 	// hasKey says that the caller chose the id, so that there may be copies of the
 	// request.
 	hasKey bool
-	// forwarded says that another entry host forwarded the request.
+	// forwarded says that another entry host relayed the request.
 	forwarded bool
 	// claimed says that this process, and no other, may run the request.
 	claimed bool
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// newID returns the id that the forwarding entry host gave the request, or a new one.
+// newID returns the id that the relaying entry host gave the request, or a new one.
 func (s *Server) newID(r *http.Request, q *acceptedRequest) uuid.UUID {
 	if id, err := uuid.Parse(r.Header.Get(common.HeaderRequestID)); q.forwarded && err == nil {
 		return id
--- a/request/handle.go
+++ b/request/handle.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// spill forwards a request that was refused here for lack of capacity to another data
-// centre. A request is forwarded once at most.
+// spill relays a request that was refused here for lack of capacity to another data
+// centre. A request is relayed once at most.
 func (s *Server) spill(ctx context.Context, q *acceptedRequest, p *common.ProblemError) (*attemptResult, *common.ProblemError) {
 	if q.forwarded || q.claimed || q.sent || q.issued != nil || !isCapacityRefusal(p) {
 		return nil, p
@@ -264,7 +264,7 @@
 	return nil, p
 }
 
-// relayToIssuer forwards a request to the process that issued its id.
+// relayToIssuer relays a request to the process that issued its id.
 func (s *Server) relayToIssuer(ctx context.Context, q *acceptedRequest) (*attemptResult, *common.ProblemError) {
 	m, ok := s.Relay.member(q.issued.Name)
 	if q.forwarded || !ok || m.Incarnation != q.issued.Incarnation {
--- a/request/relay.go
+++ b/request/relay.go
@@ -10,7 +10,7 @@
 	"amberway/peers"
 )
 
-// Relay forwards requests to other entry hosts.
+// Relay passes requests on to other entry hosts.
 type Relay struct {
 	dc     string
 	token  string
@@ -20,7 +20,7 @@
 }
 
 // NewRelay returns a relay from the data centre to the live members, which recognise
-// forwarded requests by the token.
+// relayed requests by the token.
 func NewRelay(dc, token string, live func() []peers.Member, r Runner) *Relay {
 	return &Relay{dc: dc, token: token, live: live, runner: r, budget: NewRetryBudget()}
 }
--- a/request/server.go
+++ b/request/server.go
@@ -62,7 +62,7 @@
 	Metrics    *Metrics
 	// PauseDetector reports whether the process was paused just now.
 	PauseDetector *common.PauseDetector
-	// HopToken proves that a request was forwarded by another entry host.
+	// HopToken proves that a request was relayed by another entry host.
 	HopToken string
 }
 
--- a/request/verdict_test.go
+++ b/request/verdict_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// relay forwards a call to the second entry host, whose answer may be lost.
+// relay passes a call on to the second entry host, whose answer may be lost.
 func (m *verdictModel) relay(c Call) (*Reply, error) {
 	fate := rapid.IntRange(0, 4).Draw(m.t, "relay")
 	if fate == 0 {
--- a/tests/removal_test.go
+++ b/tests/removal_test.go
@@ -44,7 +44,7 @@
 )
 
 // TestLastingTasksOfARemovedHostAreRestartedByTheNextOwner removes a host with lasting tasks
-// for good, together with its record and its entry in the list of machines, and kills the owner
+// for good, together with its record and its entry in the machine list, and kills the owner
 // before the host's lease has expired.
 func TestLastingTasksOfARemovedHostAreRestartedByTheNextOwner(t *testing.T) {
 	for name, r := range map[string]fleet.Removal{
--- a/tests/restart_test.go
+++ b/tests/restart_test.go
@@ -20,7 +20,7 @@
 
 // TestTasksResumeAfterWorkerRestartsUnderItsID has workers crash and restart under their ids
 // before their records expire: at the same address or another, with clocks that are off, and
-// several times. The platform's list of machines never shows the restart, and the store shows it
+// several times. The platform's machine list never shows the restart, and the store shows it
 // only later. Until then, the restart shows only in the worker's own answers.
 func TestTasksResumeAfterWorkerRestartsUnderItsID(t *testing.T) {
 	for name, r := range map[string]fleet.Restart{
