--- a/job/machines.go
+++ b/job/machines.go
@@ -10,7 +10,7 @@
 // Intervals and delays of machine lists and of orders to machines.
 const (
 	// handoverPause is how long a machine that got an order from the previous owner gets
-	// none: two holders may not alternate within three seconds.
+	// none: two owners may not alternate within three seconds.
 	handoverPause = 3200 * time.Millisecond
 	// firstOrderDelay is how long a new owner waits for the first poll results of its workers
 	// before it sends orders to machines.
--- a/job/removed_list_test.go
+++ b/job/removed_list_test.go
@@ -116,7 +116,7 @@
 	f.fail("w2", common.ErrUnknownOutcome)
 	f.step(MachineList{SentAt: sent, Machines: []platform.Machine{machineOf("w1", "blue")}})
 	f.advance(tickEvery)
-	require.Empty(t, f.starts(), "w2 lives: it answered after the list was requested")
+	require.Empty(t, f.starts(), "w2 is alive: it answered after the list was requested")
 }
 
 func TestFirstListOfAnOwnerTakesNoMachineOutOfAWave(t *testing.T) {
