--- a/commands/settings.go
+++ b/commands/settings.go
@@ -173,7 +173,7 @@
 		report("--store and --platform exclude each other: a daemon serves jobs or requests")
 	}
 	if s.ConfigWithin < minConfigWithin {
-		report("--config-within: %s is below the minimum of %s", s.ConfigWithin, minConfigWithin)
+		report("--config-within: %s is below %s, in which no configuration is sure to be in force", s.ConfigWithin, minConfigWithin)
 	}
 	if s.KeysWithin != 0 && s.KeysWithin < s.ConfigWithin {
 		report("--keys-within: %s is below --config-within, the time in which entry hosts learn of changed keys", s.KeysWithin)
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -93,7 +93,7 @@
 }
 
 // errAbandoned ends the writing of a request whose attempt was abandoned.
-var errAbandoned = merry.New("abandoned before it was written")
+var errAbandoned = merry.New("given up before it was written")
 
 // requestBody is the body of a request. net/http still writes a request if its connection
 // is established just as its context ends, so the body checks whether it may be sent.
