--- a/request/accept.go
+++ b/request/accept.go
@@ -32,8 +32,8 @@
 	// hasKey says that the caller chose the id, so that there may be copies of the
 	// request.
 	hasKey bool
-	// forwarded says that another entry host relayed the request.
-	forwarded bool
+	// relayed says that another entry host relayed the request.
+	relayed bool
 	// claimed says that this process, and no other, may run the request.
 	claimed bool
 	// sent says that a target may have received some of the request.
@@ -93,7 +93,7 @@
 	if !s.isHopToken(v) {
 		return q.problem(http.StatusForbidden, "wrong hop token", "", time.Time{})
 	}
-	q.forwarded = true
+	q.relayed = true
 	return nil
 }
 
@@ -167,7 +167,7 @@
 
 // newID returns the id that the relaying entry host gave the request, or a new one.
 func (s *Server) newID(r *http.Request, q *acceptedRequest) uuid.UUID {
-	if id, err := uuid.Parse(r.Header.Get(common.HeaderRequestID)); q.forwarded && err == nil {
+	if id, err := uuid.Parse(r.Header.Get(common.HeaderRequestID)); q.relayed && err == nil {
 		return id
 	}
 	return uuid.Must(uuid.NewV7())
--- a/request/handle.go
+++ b/request/handle.go
@@ -250,7 +250,7 @@
 // spill relays a request that was refused here for lack of capacity to another data
 // centre. A request is relayed once at most.
 func (s *Server) spill(ctx context.Context, q *acceptedRequest, p *common.ProblemError) (*attemptResult, *common.ProblemError) {
-	if q.forwarded || q.claimed || q.sent || q.issued != nil || !isCapacityRefusal(p) {
+	if q.relayed || q.claimed || q.sent || q.issued != nil || !isCapacityRefusal(p) {
 		return nil, p
 	}
 	r, err := s.Relay.ToOtherDataCentre(ctx, q)
@@ -267,7 +267,7 @@
 // relayToIssuer relays a request to the process that issued its id.
 func (s *Server) relayToIssuer(ctx context.Context, q *acceptedRequest) (*attemptResult, *common.ProblemError) {
 	m, ok := s.Relay.member(q.issued.Name)
-	if q.forwarded || !ok || m.Incarnation != q.issued.Incarnation {
+	if q.relayed || !ok || m.Incarnation != q.issued.Incarnation {
 		return nil, q.problem(http.StatusGone, "the entry host that issued the id is gone",
 			"nobody else may run it; it may have run", time.Time{})
 	}
