--- a/internal/standin/fleet/removal_test.go
+++ b/internal/standin/fleet/removal_test.go
@@ -89,7 +89,7 @@
 	return err
 }
 
-func TestSilencedConnectionsStaySilentWhileNewOnesWork(t *testing.T) {
+func TestSilencedWorkerConnectionsStaySilentWhileNewOnesWork(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
 			f := New("spare", time.Second)
